--- a/bench/run_once/_fleet.py
+++ b/bench/run_once/_fleet.py
@@ -13,10 +13,10 @@
     HandOver,
     Leaving,
     Refused,
+    Resumed,
     Settled,
     StoredAnswer,
     WaiterCancelled,
-    Woke,
 )
 
 _OLD_SECONDS = 1000
@@ -80,7 +80,7 @@
         machine.frozen_at = None
         held = machine.held
         machine.held = []
-        self.tell(machine, Woke(gap_seconds=gap))
+        self.tell(machine, Resumed(gap_seconds=gap))
         for message in held:
             self.receive(machine, message)
 
--- a/src/lovageshunt/idempotency/__init__.py
+++ b/src/lovageshunt/idempotency/__init__.py
@@ -26,10 +26,10 @@
     RedirectFailed,
     Refused,
     Requested,
+    Resumed,
     Settled,
     Ticked,
     WaiterCancelled,
-    Woke,
 )
 from lovageshunt.idempotency._numbering import attempt_to_send
 from lovageshunt.idempotency._records import (
@@ -78,6 +78,6 @@
     'Ticked',
     'Wait',
     'WaiterCancelled',
-    'Woke',
+    'Resumed',
     'attempt_to_send',
 ]
--- a/src/lovageshunt/idempotency/_events.py
+++ b/src/lovageshunt/idempotency/_events.py
@@ -189,7 +189,7 @@
     __slots__ = ()
 
 
-class Woke(Record):
+class Resumed(Record):
     """The process was suspended, or its loop stalled, for so long."""
 
     __slots__ = ('gap_seconds',)
@@ -236,5 +236,5 @@
     | RedirectFailed
 )
 _PeerEvent = Inquired | InquiryAnswered | InquiryFailed | HandedOver
-_NodeEvent = Settled | Ticked | Woke | Leaving | Drained
+_NodeEvent = Settled | Ticked | Resumed | Leaving | Drained
 Event = _CallEvent | _PeerEvent | _NodeEvent
--- a/src/lovageshunt/idempotency/_inquiring.py
+++ b/src/lovageshunt/idempotency/_inquiring.py
@@ -15,9 +15,9 @@
     Inquired,
     InquiryAnswered,
     InquiryFailed,
+    Resumed,
     Settled,
     Ticked,
-    Woke,
 )
 from lovageshunt.idempotency._records import (
     Claim,
@@ -176,7 +176,7 @@
 
 
 @decide.register
-def _on_woke(event: Woke, state: NodeState, now: float) -> list[Action]:
+def _on_woke(event: Resumed, state: NodeState, now: float) -> list[Action]:
     """Trust nothing that was read before the gap.
 
     Messages may have waited in the process's own buffers, so entries are
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -19,7 +19,7 @@
     Drained,
     Inquired,
     InquiryAnswer,
-    Woke,
+    Resumed,
 )
 from lovageshunt.membership import EpochClock, PauseEnded
 from lovageshunt.node.control._control import Control
@@ -122,7 +122,7 @@
         if self._epochs.observe(at):
             self._pauses.value += 1
             _log.warning('the process was paused for %.1f s', gap)
-            self._calls.handle(Woke(gap_seconds=gap))
+            self._calls.handle(Resumed(gap_seconds=gap))
             self._control.tell(PauseEnded())
             self._settler.restart()
 
--- a/tests/idempotency/test_arriving.py
+++ b/tests/idempotency/test_arriving.py
@@ -13,11 +13,11 @@
     InquiryFailed,
     Redirect,
     Replay,
+    Resumed,
     Run,
     Ticked,
     Wait,
     WaiterCancelled,
-    Woke,
 )
 from tests.idempotency.nodes import (
     ANSWERED,
@@ -109,7 +109,7 @@
     def test_dispatch_after_a_pause_is_not_run(self, node):
         """What was queued before a suspension never runs after it."""
         node.handle(requested('x', 1), NOW)
-        node.handle(Woke(gap_seconds=1), NOW)
+        node.handle(Resumed(gap_seconds=1), NOW)
 
         refusal = only(dispatch(node, 'x'))
 
@@ -117,7 +117,7 @@
 
     def test_arrival_after_a_pause_is_inquired_about(self, node):
         """It may have lain in a buffer while a resend ran elsewhere."""
-        node.handle(Woke(gap_seconds=1), NOW)
+        node.handle(Resumed(gap_seconds=1), NOW)
 
         wait, *asked = node.handle(requested('x', 1), NOW)
 
--- a/tests/idempotency/test_safeguards.py
+++ b/tests/idempotency/test_safeguards.py
@@ -12,10 +12,10 @@
     InquiryAnswered,
     InquiryFailed,
     Requested,
+    Resumed,
     RunOnce,
     RunOnceSettings,
     Settled,
-    Woke,
 )
 
 
@@ -121,14 +121,14 @@
 
 class _WithoutWaking(_Naive):
     def handle(self, event, now):
-        return [] if isinstance(event, Woke) else super().handle(event, now)
+        return [] if isinstance(event, Resumed) else super().handle(event, now)
 
 
 class _WithoutSettlingAnew(_Naive):
     def handle(self, event, now):
         settled_at = self._state.settled_at
         actions = super().handle(event, now)
-        if isinstance(event, Woke):
+        if isinstance(event, Resumed):
             self._state.settled_at = settled_at
         return actions
 
--- a/tests/node/gate/test_gate.py
+++ b/tests/node/gate/test_gate.py
@@ -13,11 +13,11 @@
 from lovageshunt.calls import CallContext, HomeStamp, Outcome, RefusalReason
 from lovageshunt.idempotency import (
     Ending,
+    Resumed,
     RunOnce,
     RunOnceSettings,
     Settled,
     StoredAnswer,
-    Woke,
 )
 from lovageshunt.node import Gate
 from lovageshunt.node.gate._messages import (
@@ -194,7 +194,7 @@
     def pause(self):
         """The process wakes from a pause."""
         self.now += 5
-        self.tell(Woke(gap_seconds=5))
+        self.tell(Resumed(gap_seconds=5))
 
     @rule()
     def leave(self):
@@ -283,7 +283,7 @@
         machine = GateMachine()
         running = [machine.arrive('', 5, 0, 1) for _ in range(_SLOTS)]
         waiting = machine.arrive('k', 0, 0, 1)
-        machine.tell(Woke(gap_seconds=0.1))
+        machine.tell(Resumed(gap_seconds=0.1))
         for ticket in running:
             machine.end(ticket, is_good=True)
 
