--- a/src/lovageshunt/idempotency/__init__.py
+++ b/src/lovageshunt/idempotency/__init__.py
@@ -36,7 +36,7 @@
     Claim,
     Departed,
     Ending,
-    HandedEntry,
+    HandOverEntry,
     InquiryAnswer,
     StoredAnswer,
 )
@@ -57,7 +57,7 @@
     'Ending',
     'Event',
     'HandOver',
-    'HandedEntry',
+    'HandOverEntry',
     'HandedOver',
     'Inquire',
     'Inquired',
--- a/src/lovageshunt/idempotency/_actions.py
+++ b/src/lovageshunt/idempotency/_actions.py
@@ -4,7 +4,7 @@
 from lovageshunt.calls import HomeStamp
 from lovageshunt.idempotency._records import (
     Ending,
-    HandedEntry,
+    HandOverEntry,
     InquiryAnswer,
     RefusedCall,
 )
@@ -137,7 +137,7 @@
 
     __slots__ = ('entries',)
 
-    def __init__(self, *, entries: tuple[HandedEntry, ...]) -> None:
+    def __init__(self, *, entries: tuple[HandOverEntry, ...]) -> None:
         """Take what the heirs must know."""
         self.entries = entries
 
--- a/src/lovageshunt/idempotency/_events.py
+++ b/src/lovageshunt/idempotency/_events.py
@@ -5,7 +5,7 @@
 from lovageshunt.idempotency._records import (
     Departed,
     Ending,
-    HandedEntry,
+    HandOverEntry,
     InquiryAnswer,
     RefusedCall,
 )
@@ -220,7 +220,7 @@
         self,
         *,
         leaver: HomeStamp,
-        entries: tuple[HandedEntry, ...],
+        entries: tuple[HandOverEntry, ...],
     ) -> None:
         """Take the leaver and all of its calls."""
         self.leaver = leaver
--- a/src/lovageshunt/idempotency/_leaving.py
+++ b/src/lovageshunt/idempotency/_leaving.py
@@ -5,7 +5,7 @@
 from lovageshunt.idempotency._deciding import decide
 from lovageshunt.idempotency._entry import Entry
 from lovageshunt.idempotency._events import Drained, HandedOver, Leaving
-from lovageshunt.idempotency._records import Ending, HandedEntry, identity_of
+from lovageshunt.idempotency._records import Ending, HandOverEntry, identity_of
 from lovageshunt.idempotency._state import NodeState
 
 _HELD_STATES = frozenset(('queued', 'running', 'ended'))
@@ -53,14 +53,14 @@
     return actions
 
 
-def _handed(entry: Entry) -> HandedEntry:
+def _handed(entry: Entry) -> HandOverEntry:
     ending = entry.ending
     if ending is None and entry.state in _HELD_STATES:
         ending = Ending(
             outcome=Outcome.UNKNOWN,
             reason=RefusalReason.LEAVING,
         )
-    return HandedEntry(
+    return HandOverEntry(
         key=entry.key,
         ending=ending,
         refused_through=entry.refused_through,
@@ -68,7 +68,7 @@
 
 
 def _inherit(
-    handed: HandedEntry,
+    handed: HandOverEntry,
     state: NodeState,
     now: float,
 ) -> list[Action]:
--- a/src/lovageshunt/idempotency/_records.py
+++ b/src/lovageshunt/idempotency/_records.py
@@ -148,7 +148,7 @@
         self.is_witness = is_witness
 
 
-class HandedEntry(Record):
+class HandOverEntry(Record):
     """What a leaving node tells its heirs of one call.
 
     ``ending`` is ``None`` for a call that was refused and did not run.
--- a/src/lovageshunt/node/control/_inquiry_codec.py
+++ b/src/lovageshunt/node/control/_inquiry_codec.py
@@ -10,8 +10,8 @@
 from lovageshunt.idempotency import (
     Claim,
     Ending,
-    HandedEntry,
     HandedOver,
+    HandOverEntry,
     Inquire,
     Inquired,
     InquiryAnswer,
@@ -69,7 +69,7 @@
 
 def encode_hand_over(
     leaver: HomeStamp,
-    entries: tuple[HandedEntry, ...],
+    entries: tuple[HandOverEntry, ...],
 ) -> bytes:
     """Return what a leaving node knows of calls as JSON."""
     return orjson.dumps(
@@ -94,7 +94,7 @@
         return HandedOver(
             leaver=HomeStamp(**fields['leaver']),
             entries=tuple(
-                HandedEntry(
+                HandOverEntry(
                     key=str(entry['key']),
                     ending=_ending_of(entry['ending']),
                     refused_through=int(entry['refused_through']),
--- a/tests/node/control/test_inquiry_codec.py
+++ b/tests/node/control/test_inquiry_codec.py
@@ -7,7 +7,7 @@
 from lovageshunt.idempotency import (
     Claim,
     Ending,
-    HandedEntry,
+    HandOverEntry,
     Inquire,
     InquiryAnswer,
     StoredAnswer,
@@ -76,8 +76,8 @@
             ),
         )
         entries = (
-            HandedEntry(key='k', ending=ending, refused_through=0),
-            HandedEntry(key='m', ending=None, refused_through=2),
+            HandOverEntry(key='k', ending=ending, refused_through=0),
+            HandOverEntry(key='m', ending=None, refused_through=2),
         )
         handed = decode_hand_over(encode_hand_over(_N1, entries))
 
