--- a/bench/run_once/_fleet.py
+++ b/bench/run_once/_fleet.py
@@ -9,8 +9,8 @@
     DispatchDue,
     Drained,
     Ending,
-    HandedOver,
     HandOver,
+    HandOverReceived,
     Leaving,
     Refused,
     Resumed,
@@ -140,6 +140,6 @@
         handed: HandOver,
         heirs: list[Machine],
     ) -> None:
-        event = HandedOver(leaver=leaver.home, entries=handed.entries)
+        event = HandOverReceived(leaver=leaver.home, entries=handed.entries)
         for heir in heirs:
             self.tell(heir, event)
--- a/src/lovageshunt/idempotency/_events.py
+++ b/src/lovageshunt/idempotency/_events.py
@@ -211,7 +211,7 @@
     __slots__ = ()
 
 
-class HandedOver(Record):
+class HandOverReceived(Record):
     """A peer that leaves hands over the calls it knows."""
 
     __slots__ = ('leaver', 'entries')
@@ -235,6 +235,6 @@
     | WaiterCancelled
     | RedirectFailed
 )
-_PeerEvent = Inquired | InquiryAnswered | InquiryFailed | HandedOver
+_PeerEvent = Inquired | InquiryAnswered | InquiryFailed | HandOverReceived
 _NodeEvent = Settled | Ticked | Resumed | Leaving | Drained
 Event = _CallEvent | _PeerEvent | _NodeEvent
--- a/src/lovageshunt/idempotency/_leaving.py
+++ b/src/lovageshunt/idempotency/_leaving.py
@@ -4,7 +4,7 @@
 from lovageshunt.idempotency._actions import Action, HandOver, Replay
 from lovageshunt.idempotency._deciding import decide
 from lovageshunt.idempotency._entry import Entry
-from lovageshunt.idempotency._events import Drained, HandedOver, Leaving
+from lovageshunt.idempotency._events import Drained, HandOverReceived, Leaving
 from lovageshunt.idempotency._records import Ending, HandOverEntry, identity_of
 from lovageshunt.idempotency._state import NodeState
 
@@ -33,7 +33,7 @@
 
 @decide.register
 def _on_handed_over(
-    event: HandedOver,
+    event: HandOverReceived,
     state: NodeState,
     now: float,
 ) -> list[Action]:
--- a/src/lovageshunt/node/control/_inquiry_codec.py
+++ b/src/lovageshunt/node/control/_inquiry_codec.py
@@ -10,8 +10,8 @@
 from lovageshunt.idempotency import (
     Claim,
     Ending,
-    HandedOver,
     HandOverEntry,
+    HandOverReceived,
     Inquire,
     Inquired,
     InquiryAnswer,
@@ -87,11 +87,11 @@
     )
 
 
-def decode_hand_over(body: bytes) -> HandedOver:
+def decode_hand_over(body: bytes) -> HandOverReceived:
     """Return what was handed over; raises ``MalformedEnvelopeError``."""
     try:
         fields = orjson.loads(body)
-        return HandedOver(
+        return HandOverReceived(
             leaver=HomeStamp(**fields['leaver']),
             entries=tuple(
                 HandOverEntry(
--- a/tests/idempotency/test_leaving.py
+++ b/tests/idempotency/test_leaving.py
@@ -6,7 +6,7 @@
     AnswerUnknown,
     Completed,
     Drained,
-    HandedOver,
+    HandOverReceived,
     Inquired,
     InquiryFailed,
     Leaving,
@@ -71,7 +71,7 @@
             settings=RunOnceSettings(),
         )
 
-        heir.handle(HandedOver(leaver=ME, entries=handed.entries), NOW)
+        heir.handle(HandOverReceived(leaver=ME, entries=handed.entries), NOW)
 
         assert heir.handle(requested('y', 2), NOW) == [
             Replay(call_id='y', ending=ANSWERED),
@@ -88,7 +88,7 @@
 
     def test_answer_names_the_covered(self, node):
         """An heir tells askers whose keys it has."""
-        node.handle(HandedOver(leaver=HIGHER, entries=()), NOW)
+        node.handle(HandOverReceived(leaver=HIGHER, entries=()), NOW)
 
         answered = only(
             node.handle(
