--- a/bench/run_once/_machine.py
+++ b/bench/run_once/_machine.py
@@ -4,7 +4,7 @@
 
 from bench.run_once._messages import Message
 from lovageshunt.calls import HomeStamp
-from lovageshunt.idempotency import Departed, RunOnce, RunOnceSettings
+from lovageshunt.idempotency import DepartedNode, RunOnce, RunOnceSettings
 
 #: A node remembers who departed for as long as a request may be resent.
 _MEMORY_SECONDS = 930
@@ -48,7 +48,7 @@
         self.home = home
         self.node = node
         self.listed: list[HomeStamp] = []
-        self.gone: list[Departed] = []
+        self.gone: list[DepartedNode] = []
         self.queue: list[str] = []
         self.running: dict[str, str] = {}
         self.held: list[Message] = []
@@ -63,7 +63,7 @@
         """
         names = {home.node for home in published}
         self.gone.extend(
-            Departed(
+            DepartedNode(
                 home=home,
                 seconds_ago=-now,
                 is_proved_dead=home.node in names,
@@ -73,10 +73,10 @@
         )
         self.listed = [home for home in published if home != self.home]
 
-    def departed(self, now: float) -> tuple[Departed, ...]:
+    def departed(self, now: float) -> tuple[DepartedNode, ...]:
         """Return the nodes that this one no longer lists."""
         return tuple(
-            Departed(
+            DepartedNode(
                 home=each.home,
                 seconds_ago=now + each.seconds_ago,
                 is_proved_dead=each.is_proved_dead,
--- a/src/lovageshunt/idempotency/__init__.py
+++ b/src/lovageshunt/idempotency/__init__.py
@@ -34,7 +34,7 @@
 from lovageshunt.idempotency._numbering import attempt_to_send
 from lovageshunt.idempotency._records import (
     Claim,
-    Departed,
+    DepartedNode,
     Ending,
     HandOverEntry,
     InquiryAnswer,
@@ -50,7 +50,7 @@
     'AnswerUnknown',
     'Claim',
     'Completed',
-    'Departed',
+    'DepartedNode',
     'Dispatch',
     'DispatchDue',
     'Drained',
--- a/src/lovageshunt/idempotency/_events.py
+++ b/src/lovageshunt/idempotency/_events.py
@@ -3,7 +3,7 @@
 from lovageshunt._record import Record
 from lovageshunt.calls import HomeStamp
 from lovageshunt.idempotency._records import (
-    Departed,
+    DepartedNode,
     Ending,
     HandOverEntry,
     InquiryAnswer,
@@ -43,7 +43,7 @@
         stamp: HomeStamp | None = None,
         age_ms: int | None = None,
         peers: tuple[HomeStamp, ...] | None = None,
-        gone: tuple[Departed, ...] = (),
+        gone: tuple[DepartedNode, ...] = (),
     ) -> None:
         """Take what the arrival says and what the node knows of peers."""
         self.call_id = call_id
@@ -128,7 +128,7 @@
         number: int,
         digest: int = 0,
         peers: tuple[HomeStamp, ...] = (),
-        gone: tuple[Departed, ...] = (),
+        gone: tuple[DepartedNode, ...] = (),
     ) -> None:
         """Take the question and what the inquired node knows of peers."""
         self.key = key
--- a/src/lovageshunt/idempotency/_records.py
+++ b/src/lovageshunt/idempotency/_records.py
@@ -67,7 +67,7 @@
         self.answer = answer
 
 
-class Departed(Record):
+class DepartedNode(Record):
     """A node that was listed lately and no longer is.
 
     ``seconds_ago`` tells since when it is missed. ``is_proved_dead`` is true
--- a/src/lovageshunt/idempotency/_state.py
+++ b/src/lovageshunt/idempotency/_state.py
@@ -5,7 +5,7 @@
 from lovageshunt.calls import Outcome, RefusalReason
 from lovageshunt.idempotency._entry import Arrival, Entry
 from lovageshunt.idempotency._records import (
-    Departed,
+    DepartedNode,
     Ending,
     Identity,
     identity_of,
@@ -158,7 +158,7 @@
 
     def excused(
         self,
-        gone: Iterable[Departed],
+        gone: Iterable[DepartedNode],
         *,
         born_at: float,
         now: float,
@@ -169,7 +169,7 @@
 
     def suspects(
         self,
-        gone: Iterable[Departed],
+        gone: Iterable[DepartedNode],
         *,
         born_at: float,
         now: float,
--- a/src/lovageshunt/node/control/_service_peers.py
+++ b/src/lovageshunt/node/control/_service_peers.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from lovageshunt.calls import HomeStamp
-from lovageshunt.idempotency import Departed
+from lovageshunt.idempotency import DepartedNode
 from lovageshunt.membership import Member
 
 #: How long a departed node may still be the home of a resent call.
@@ -51,10 +51,10 @@
             self._gone_at.pop((member.name, member.incarnation), None)
         self._expire(now)
 
-    def gone(self, now: float) -> tuple[Departed, ...]:
+    def gone(self, now: float) -> tuple[DepartedNode, ...]:
         """Return the nodes that were members lately and are no longer."""
         return tuple(
-            Departed(
+            DepartedNode(
                 home=HomeStamp(node=identity[0], incarnation=identity[1]),
                 seconds_ago=max(0, now - gone_at),
                 is_proved_dead=identity in self._dead,
--- a/src/lovageshunt/node/gate/_messages.py
+++ b/src/lovageshunt/node/gate/_messages.py
@@ -2,7 +2,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.calls import CallContext, HomeStamp, RefusalReason
-from lovageshunt.idempotency import Departed, Ending
+from lovageshunt.idempotency import DepartedNode, Ending
 
 
 class CallArrived(Record):
@@ -33,7 +33,7 @@
         fingerprint: str,
         deadline: float,
         peers: tuple[HomeStamp, ...] | None = None,
-        gone: tuple[Departed, ...] = (),
+        gone: tuple[DepartedNode, ...] = (),
     ) -> None:
         """Take the call and what is known about it."""
         self.ticket = ticket
--- a/tests/idempotency/test_arriving.py
+++ b/tests/idempotency/test_arriving.py
@@ -6,7 +6,7 @@
     AnswerUnknown,
     Claim,
     Completed,
-    Departed,
+    DepartedNode,
     Dispatch,
     DispatchDue,
     Inquire,
@@ -204,7 +204,7 @@
 
     def test_departed_node_leaves_doubt(self, node):
         """One that is unlisted but not proved dead may still run it."""
-        gone = (Departed(home=HIGHER, seconds_ago=60),)
+        gone = (DepartedNode(home=HIGHER, seconds_ago=60),)
         _, *asked = node.handle(
             requested('x', 2, peers=(LOWER,), gone=gone),
             NOW,
@@ -214,7 +214,7 @@
 
     def test_dead_node_leaves_none_for_younger_calls(self, node):
         """A call that began after a process ended is not its own."""
-        dead = Departed(home=HIGHER, seconds_ago=60, is_proved_dead=True)
+        dead = DepartedNode(home=HIGHER, seconds_ago=60, is_proved_dead=True)
         node.handle(
             requested('x', 2, peers=(LOWER,), gone=(dead,)),
             NOW,
