--- a/bench/run_once/__main__.py
+++ b/bench/run_once/__main__.py
@@ -20,11 +20,11 @@
 from bench.run_once._ways import FixedHome, StampOnly, Unprotected
 from lovageshunt.calls import HomeStamp, Outcome
 from lovageshunt.idempotency import (
+    AttemptReceived,
     Claim,
     Inquired,
     InquiryAnswer,
     InquiryAnswered,
-    Requested,
     RunOnce,
     RunOnceSettings,
 )
@@ -120,7 +120,7 @@
     sent = 0
     began = process_time()
     for at in range(_MANY):
-        requested = Requested(
+        requested = AttemptReceived(
             call_id=str(at),
             key=str(at),
             attempt=2,
--- a/bench/run_once/_network.py
+++ b/bench/run_once/_network.py
@@ -144,7 +144,7 @@
     machine: Machine,
     now: float,
 ) -> run_once.Event:
-    return run_once.Requested(
+    return run_once.AttemptReceived(
         call_id=message.call_id,
         key=message.key,
         attempt=message.attempt,
--- a/bench/run_once/_ways.py
+++ b/bench/run_once/_ways.py
@@ -10,9 +10,9 @@
     Action,
     AnswerNotRun,
     AnswerUnknown,
+    AttemptReceived,
     Event,
     Redirect,
-    Requested,
     RunOnce,
     RunOnceSettings,
 )
@@ -29,7 +29,7 @@
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Run any attempt as if it were the first and only one."""
-        if isinstance(event, Requested):
+        if isinstance(event, AttemptReceived):
             event.peers = ()
             event.gone = ()
             event.stamp = None
@@ -42,7 +42,7 @@
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Answer what would need an inquiry at once."""
-        if not isinstance(event, Requested) or self.knows(event.key):
+        if not isinstance(event, AttemptReceived) or self.knows(event.key):
             return super().handle(event, now)
         if event.attempt == 1 or event.stamp is not None:
             return super().handle(event, now)
@@ -91,7 +91,7 @@
 
     def handle(self, event: Event, now: float) -> list[Action]:
         """Redirect to the home, or run there once its right is sure."""
-        if not isinstance(event, Requested):
+        if not isinstance(event, AttemptReceived):
             return super().handle(event, now)
         peers = event.peers or ()
         home = _home_of(event.key, (*peers, self.home))
@@ -117,7 +117,7 @@
         if not self._lists or self._lists[-1][1] != names:
             self._lists.append((since, names))
 
-    def _refusal(self, event: Requested, now: float) -> Action | None:
+    def _refusal(self, event: AttemptReceived, now: float) -> Action | None:
         taken_at = self._taken_at(event.key)
         wait_seconds = _LEASE_SECONDS + self.lag_seconds
         born_at = now - (event.age_ms or 0) / _MS_PER_SECOND
--- a/src/lovageshunt/idempotency/__init__.py
+++ b/src/lovageshunt/idempotency/__init__.py
@@ -14,6 +14,7 @@
     Wait,
 )
 from lovageshunt.idempotency._events import (
+    AttemptReceived,
     Completed,
     DispatchDue,
     Drained,
@@ -25,7 +26,6 @@
     Leaving,
     RedirectFailed,
     Refused,
-    Requested,
     Resumed,
     Settled,
     Ticked,
@@ -69,7 +69,7 @@
     'RedirectFailed',
     'Refused',
     'Replay',
-    'Requested',
+    'AttemptReceived',
     'Run',
     'RunOnce',
     'RunOnceSettings',
--- a/src/lovageshunt/idempotency/_arriving.py
+++ b/src/lovageshunt/idempotency/_arriving.py
@@ -11,7 +11,7 @@
 )
 from lovageshunt.idempotency._deciding import decide
 from lovageshunt.idempotency._entry import Arrival, Entry
-from lovageshunt.idempotency._events import Requested
+from lovageshunt.idempotency._events import AttemptReceived
 from lovageshunt.idempotency._inquiring import start_inquiry
 from lovageshunt.idempotency._records import Identity, identity_of
 from lovageshunt.idempotency._refusing import (
@@ -33,7 +33,7 @@
     def __init__(
         self,
         *,
-        event: Requested,
+        event: AttemptReceived,
         arrival: Arrival,
         born_at: float,
         named: Identity | None,
@@ -54,7 +54,7 @@
 
 @decide.register
 def _on_requested(
-    event: Requested,
+    event: AttemptReceived,
     state: NodeState,
     now: float,
 ) -> list[Action]:
@@ -72,7 +72,7 @@
     return _reopen(attempt, state, entry, now)
 
 
-def _read(event: Requested, state: NodeState, now: float) -> _Attempt:
+def _read(event: AttemptReceived, state: NodeState, now: float) -> _Attempt:
     stamp = None if event.stamp is None else identity_of(event.stamp)
     is_stamped_here = stamp == state.me
     return _Attempt(
--- a/src/lovageshunt/idempotency/_events.py
+++ b/src/lovageshunt/idempotency/_events.py
@@ -11,7 +11,7 @@
 )
 
 
-class Requested(Record):
+class AttemptReceived(Record):
     """An attempt of a call that must run at most once has arrived.
 
     ``call_id`` names this arrival and is unique in the node; ``key`` names
@@ -228,7 +228,7 @@
 
 
 _CallEvent = (
-    Requested
+    AttemptReceived
     | DispatchDue
     | Refused
     | Completed
--- a/src/lovageshunt/node/gate/_events.py
+++ b/src/lovageshunt/node/gate/_events.py
@@ -13,10 +13,10 @@
 from lovageshunt.admission import Ticked as AdmissionTicked
 from lovageshunt.calls import Outcome, RefusalReason
 from lovageshunt.idempotency import (
+    AttemptReceived,
     Completed,
     Ending,
     Leaving,
-    Requested,
     Ticked,
     WaiterCancelled,
 )
@@ -59,7 +59,7 @@
     if event.is_repeatable:
         enter(event, state, now, out)
         return
-    requested = Requested(
+    requested = AttemptReceived(
         call_id=event.ticket,
         key=event.context.call_id,
         attempt=event.context.attempt,
--- a/tests/idempotency/nodes.py
+++ b/tests/idempotency/nodes.py
@@ -2,6 +2,7 @@
 
 from lovageshunt.calls import HomeStamp, Outcome, RefusalReason
 from lovageshunt.idempotency import (
+    AttemptReceived,
     Claim,
     DispatchDue,
     Ending,
@@ -9,7 +10,6 @@
     InquiryAnswer,
     InquiryAnswered,
     Refused,
-    Requested,
     RunOnce,
     RunOnceSettings,
     Settled,
@@ -29,7 +29,7 @@
 
 def requested(call_id, attempt, *, key='k', peers=PEERS, **fields):
     """Return an attempt that arrives."""
-    return Requested(
+    return AttemptReceived(
         call_id=call_id,
         key=key,
         attempt=attempt,
--- a/tests/idempotency/test_safeguards.py
+++ b/tests/idempotency/test_safeguards.py
@@ -6,12 +6,12 @@
 from lovageshunt.calls import HomeStamp
 from lovageshunt.idempotency import (
     AnswerInquiry,
+    AttemptReceived,
     Claim,
     Inquired,
     InquiryAnswer,
     InquiryAnswered,
     InquiryFailed,
-    Requested,
     Resumed,
     RunOnce,
     RunOnceSettings,
@@ -49,7 +49,7 @@
 
 class _WithoutInquiry(_Naive):
     def handle(self, event, now):
-        if isinstance(event, Requested):
+        if isinstance(event, AttemptReceived):
             event.peers = ()
         return super().handle(event, now)
 
@@ -80,7 +80,7 @@
 
 class _WithoutDeparted(_Naive):
     def handle(self, event, now):
-        if isinstance(event, Requested | Inquired):
+        if isinstance(event, AttemptReceived | Inquired):
             event.gone = ()
         return super().handle(event, now)
 
