--- a/bench/run_once/__main__.py
+++ b/bench/run_once/__main__.py
@@ -22,9 +22,9 @@
 from lovageshunt.idempotency import (
     AttemptReceived,
     Claim,
-    Inquired,
     InquiryAnswer,
     InquiryAnswered,
+    InquiryReceived,
     RunOnce,
     RunOnceSettings,
 )
@@ -139,7 +139,7 @@
             )
             sent += len(asker.handle(answered, 1000))
     asking = (process_time() - began) / _MANY
-    question = Inquired(
+    question = InquiryReceived(
         key='0' * 32,
         asker=homes[0],
         age_ms=100,
--- a/bench/run_once/_network.py
+++ b/bench/run_once/_network.py
@@ -162,7 +162,7 @@
     machine: Machine,
     now: float,
 ) -> run_once.Event:
-    return run_once.Inquired(
+    return run_once.InquiryReceived(
         key=message.question.key,
         asker=message.asker,
         age_ms=message.question.age_ms,
--- a/src/lovageshunt/idempotency/_events.py
+++ b/src/lovageshunt/idempotency/_events.py
@@ -106,7 +106,7 @@
         self.call_id = call_id
 
 
-class Inquired(Record):
+class InquiryReceived(Record):
     """A peer asks whether a call ran here, and for a promise that it won't."""
 
     __slots__ = (
@@ -235,6 +235,8 @@
     | WaiterCancelled
     | RedirectFailed
 )
-_PeerEvent = Inquired | InquiryAnswered | InquiryFailed | HandOverReceived
+_PeerEvent = (
+    InquiryReceived | InquiryAnswered | InquiryFailed | HandOverReceived
+)
 _NodeEvent = Settled | Ticked | Resumed | Leaving | Drained
 Event = _CallEvent | _PeerEvent | _NodeEvent
--- a/src/lovageshunt/idempotency/_inquiring.py
+++ b/src/lovageshunt/idempotency/_inquiring.py
@@ -12,9 +12,9 @@
 from lovageshunt.idempotency._deciding import decide
 from lovageshunt.idempotency._entry import Entry, Inquiry
 from lovageshunt.idempotency._events import (
-    Inquired,
     InquiryAnswered,
     InquiryFailed,
+    InquiryReceived,
     Resumed,
     Settled,
     Ticked,
@@ -79,7 +79,7 @@
 
 @decide.register
 def _on_inquired(
-    event: Inquired,
+    event: InquiryReceived,
     state: NodeState,
     now: float,
 ) -> list[Action]:
@@ -279,7 +279,7 @@
 
 
 def _unknown_to(
-    event: Inquired,
+    event: InquiryReceived,
     state: NodeState,
     suspects: set[Identity],
 ) -> tuple[HomeStamp, ...]:
@@ -300,7 +300,7 @@
     return InquiryAnswer(claim=claim, answerer=stamp_of(state.me))
 
 
-def _reply(event: Inquired, answer: InquiryAnswer) -> AnswerInquiry:
+def _reply(event: InquiryReceived, answer: InquiryAnswer) -> AnswerInquiry:
     return AnswerInquiry(
         key=event.key,
         asker=event.asker,
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -17,8 +17,8 @@
 from lovageshunt.clock import now
 from lovageshunt.idempotency import (
     Drained,
-    Inquired,
     InquiryAnswer,
+    InquiryReceived,
     Resumed,
 )
 from lovageshunt.membership import EpochClock, PauseEnded
@@ -146,7 +146,7 @@
         snapshot = decode_snapshot(raw)
         self._keeping.handle(SnapshotHeard(now=now(), snapshot=snapshot))
 
-    async def inquired(self, question: Inquired) -> InquiryAnswer:
+    async def inquired(self, question: InquiryReceived) -> InquiryAnswer:
         """Return the answer to a peer's question about a call."""
         peers = self._control.fleet.peers
         question.peers = peers.peers or ()
--- a/src/lovageshunt/node/control/_inquiry_codec.py
+++ b/src/lovageshunt/node/control/_inquiry_codec.py
@@ -13,8 +13,8 @@
     HandOverEntry,
     HandOverReceived,
     Inquire,
-    Inquired,
     InquiryAnswer,
+    InquiryReceived,
     StoredAnswer,
 )
 
@@ -27,12 +27,12 @@
     return orjson.dumps(fields)
 
 
-def decode_inquiry(body: bytes) -> Inquired:
+def decode_inquiry(body: bytes) -> InquiryReceived:
     """Return the question; raises ``MalformedEnvelopeError``."""
     try:
         fields = orjson.loads(body)
         asker = HomeStamp(**fields.pop('asker'))
-        return Inquired(asker=asker, **fields)
+        return InquiryReceived(asker=asker, **fields)
     except (LookupError, TypeError, ValueError) as error:
         raise MalformedEnvelopeError(repr(error)) from error
 
--- a/tests/idempotency/nodes.py
+++ b/tests/idempotency/nodes.py
@@ -6,9 +6,9 @@
     Claim,
     DispatchDue,
     Ending,
-    Inquired,
     InquiryAnswer,
     InquiryAnswered,
+    InquiryReceived,
     Refused,
     RunOnce,
     RunOnceSettings,
@@ -63,7 +63,7 @@
 
 def inquired(node, asker, age_ms=100):
     """Ask the node; return its answer and what else it does."""
-    event = Inquired(key='k', asker=asker, age_ms=age_ms, number=7)
+    event = InquiryReceived(key='k', asker=asker, age_ms=age_ms, number=7)
     actions = node.handle(event, NOW)
     return actions[0].answer, actions[1:]
 
--- a/tests/idempotency/test_leaving.py
+++ b/tests/idempotency/test_leaving.py
@@ -7,8 +7,8 @@
     Completed,
     Drained,
     HandOverReceived,
-    Inquired,
     InquiryFailed,
+    InquiryReceived,
     Leaving,
     Replay,
     Run,
@@ -92,7 +92,7 @@
 
         answered = only(
             node.handle(
-                Inquired(key='k', asker=LOWER, age_ms=1, number=1),
+                InquiryReceived(key='k', asker=LOWER, age_ms=1, number=1),
                 NOW,
             )
         )
--- a/tests/idempotency/test_safeguards.py
+++ b/tests/idempotency/test_safeguards.py
@@ -8,10 +8,10 @@
     AnswerInquiry,
     AttemptReceived,
     Claim,
-    Inquired,
     InquiryAnswer,
     InquiryAnswered,
     InquiryFailed,
+    InquiryReceived,
     Resumed,
     RunOnce,
     RunOnceSettings,
@@ -80,7 +80,7 @@
 
 class _WithoutDeparted(_Naive):
     def handle(self, event, now):
-        if isinstance(event, AttemptReceived | Inquired):
+        if isinstance(event, AttemptReceived | InquiryReceived):
             event.gone = ()
         return super().handle(event, now)
 
@@ -108,7 +108,10 @@
 
 class _WithoutRank(_Naive):
     def handle(self, event, now):
-        if isinstance(event, Inquired) and event.key in self._state.inquiring:
+        if (
+            isinstance(event, InquiryReceived)
+            and event.key in self._state.inquiring
+        ):
             yielded = AnswerInquiry(
                 key=event.key,
                 asker=event.asker,
