--- a/bench/run_once/_callers.py
+++ b/bench/run_once/_callers.py
@@ -7,7 +7,7 @@
 from bench.run_once._messages import RequestMessage
 from bench.run_once._network import age_ms_of
 from lovageshunt.calls import HomeStamp, Outcome
-from lovageshunt.idempotency import attempt_to_send
+from lovageshunt.idempotency import next_attempt_number
 
 Picker = Callable[[Sequence[HomeStamp]], HomeStamp]
 
@@ -88,7 +88,7 @@
         if is_new:
             self._stamp = pick(homes)
         self._hop_told[self._sends + 1] = None
-        attempt = attempt_to_send(1, is_proved_not_run=is_new)
+        attempt = next_attempt_number(1, is_proved_not_run=is_new)
         self._send(fleet, attempt, self._stamp, self._stamp or pick(homes))
 
     def hop_gives_up(self) -> None:
--- a/src/lovageshunt/client/_attempts.py
+++ b/src/lovageshunt/client/_attempts.py
@@ -11,7 +11,7 @@
 from lovageshunt.client._messages import Answer, Call, call_error
 from lovageshunt.clock import now
 from lovageshunt.errors import CallError
-from lovageshunt.idempotency import attempt_to_send
+from lovageshunt.idempotency import next_attempt_number
 from lovageshunt.retries import (
     AllowancePool,
     CallTally,
@@ -180,7 +180,7 @@
         if self._rule.is_repeatable:
             sent = self._tries - 1
             return self._first_attempt + sent if self._first_attempt else 0
-        return attempt_to_send(
+        return next_attempt_number(
             self._first_attempt,
             is_proved_not_run=self._is_proved_not_run,
         )
--- a/src/lovageshunt/idempotency/__init__.py
+++ b/src/lovageshunt/idempotency/__init__.py
@@ -31,7 +31,7 @@
     Ticked,
     WaiterCancelled,
 )
-from lovageshunt.idempotency._numbering import attempt_to_send
+from lovageshunt.idempotency._numbering import next_attempt_number
 from lovageshunt.idempotency._records import (
     Claim,
     DepartedNode,
@@ -79,5 +79,5 @@
     'Wait',
     'WaiterCancelled',
     'Resumed',
-    'attempt_to_send',
+    'next_attempt_number',
 ]
--- a/src/lovageshunt/idempotency/_numbering.py
+++ b/src/lovageshunt/idempotency/_numbering.py
@@ -1,7 +1,7 @@
 """The attempt number that a hop sends with a call that must run once."""
 
 
-def attempt_to_send(root_attempt: int, *, is_proved_not_run: bool) -> int:
+def next_attempt_number(root_attempt: int, *, is_proved_not_run: bool) -> int:
     """Return the number for the next send of one call by one hop.
 
     ``root_attempt`` is the number that the hop itself was called with. While
--- a/tests/client/test_attempts.py
+++ b/tests/client/test_attempts.py
@@ -10,7 +10,7 @@
     CallNotRunError,
     CallUnknownError,
 )
-from lovageshunt.idempotency import attempt_to_send
+from lovageshunt.idempotency import next_attempt_number
 from tests.client.fakes import FakeNodes, client_of
 
 _NOT_RUN = Outcome.NOT_RUN
@@ -222,8 +222,8 @@
             await call(client, attempt=attempt)
         is_proved = first is refuse_leaving
         assert [one.context.attempt for one in nodes.arrivals] == [
-            attempt_to_send(attempt, is_proved_not_run=True),
-            attempt_to_send(attempt, is_proved_not_run=is_proved),
+            next_attempt_number(attempt, is_proved_not_run=True),
+            next_attempt_number(attempt, is_proved_not_run=is_proved),
         ]
 
     async def test_proved_not_run_moves_on(self):
--- a/tests/idempotency/test_numbering.py
+++ b/tests/idempotency/test_numbering.py
@@ -1,6 +1,6 @@
 """The attempt number that a hop sends."""
 
-from lovageshunt.idempotency import attempt_to_send
+from lovageshunt.idempotency import next_attempt_number
 
 
 class TestAttemptToSend:
@@ -8,8 +8,8 @@
 
     def test_keeps_the_number_after_not_run(self):
         """What is proved not run leaves the next send a first one."""
-        assert attempt_to_send(1, is_proved_not_run=True) == 1
+        assert next_attempt_number(1, is_proved_not_run=True) == 1
 
     def test_drops_the_number_in_doubt(self):
         """An earlier send may still arrive."""
-        assert attempt_to_send(2, is_proved_not_run=False) == 0
+        assert next_attempt_number(2, is_proved_not_run=False) == 0
