--- a/src/lovageshunt/idempotency/__init__.py
+++ b/src/lovageshunt/idempotency/__init__.py
@@ -1,4 +1,4 @@
-"""At most one execution of a call that must never repeat."""
+"""At-most-once execution of calls that are not safe to repeat."""
 
 from lovageshunt.idempotency._actions import (
     Action,
--- a/src/lovageshunt/idempotency/_actions.py
+++ b/src/lovageshunt/idempotency/_actions.py
@@ -1,4 +1,4 @@
-"""What the decision to run a call at most once asks of its node."""
+"""Actions that ``RunOnce`` returns for its node to carry out."""
 
 from lovageshunt._record import Record
 from lovageshunt.calls import HomeStamp
@@ -11,64 +11,60 @@
 
 
 class Run(Record):
-    """Pass the arrival to admission, then report ``DispatchDue``."""
+    """Submit the arrival to admission; on admission report ``DispatchDue``."""
 
     __slots__ = ('call_id',)
 
     def __init__(self, *, call_id: str) -> None:
-        """Name the arrival."""
         self.call_id = call_id
 
 
 class Dispatch(Record):
-    """Write the call to the target now."""
+    """Send the call to the target now."""
 
     __slots__ = ('call_id', 'key')
 
     def __init__(self, *, call_id: str, key: str) -> None:
-        """Name the arrival and the call."""
         self.call_id = call_id
         self.key = key
 
 
 class Wait(Record):
-    """Hold the arrival; another action will end it."""
+    """Hold the arrival until a later action answers or runs it."""
 
     __slots__ = ('call_id',)
 
     def __init__(self, *, call_id: str) -> None:
-        """Name the arrival."""
         self.call_id = call_id
 
 
 class Replay(Record):
-    """Answer the arrival with how the call ended before."""
+    """Answer the arrival with the stored result of the call."""
 
     __slots__ = ('call_id', 'ending')
 
     def __init__(self, *, call_id: str, ending: Ending) -> None:
-        """Name the arrival and the ending."""
         self.call_id = call_id
         self.ending = ending
 
 
 class AnswerUnknown(RefusedCall):
-    """Answer *unknown*, with when to come back."""
+    """Answer *unknown*, with the delay before a retry."""
 
     __slots__ = ()
 
 
 class AnswerNotRun(RefusedCall):
-    """Answer *not run*, with when to come back.
+    """Answer *not run*, with the delay before a retry.
 
-    It holds for this attempt and for all before it, here and elsewhere.
+    This attempt and all earlier ones did not and will not run on any node.
     """
 
     __slots__ = ()
 
 
 class Redirect(Record):
-    """Send the arrival to ``home`` with the stamp and attempt given here."""
+    """Forward the arrival to ``home`` with this stamp and attempt number."""
 
     __slots__ = ('call_id', 'home', 'stamp', 'attempt')
 
@@ -80,7 +76,6 @@
         stamp: HomeStamp | None,
         attempt: int,
     ) -> None:
-        """Name the arrival, where it goes and what it carries."""
         self.call_id = call_id
         self.home = home
         self.stamp = stamp
@@ -88,9 +83,10 @@
 
 
 class Inquire(Record):
-    """Ask a peer about a call; report the answer or the failure.
+    """Send an inquiry to a peer; report its answer or the failure.
 
-    ``digest`` is that of the nodes which the asker knows.
+    ``age_ms`` is the age of the call and ``digest`` covers the nodes that
+    the asker knows. ``number`` identifies the inquiry at the asker.
     """
 
     __slots__ = ('key', 'peer', 'age_ms', 'number', 'digest')
@@ -104,7 +100,6 @@
         number: int,
         digest: int = 0,
     ) -> None:
-        """Name the call, the peer, the call's age and the inquiry."""
         self.key = key
         self.peer = peer
         self.age_ms = age_ms
@@ -113,7 +108,7 @@
 
 
 class AnswerInquiry(Record):
-    """Answer the asker of an inquiry."""
+    """Answer inquiry ``number`` of the peer ``asker``."""
 
     __slots__ = ('key', 'asker', 'number', 'answer')
 
@@ -125,7 +120,6 @@
         number: int,
         answer: InquiryAnswer,
     ) -> None:
-        """Name the call, the asker and its inquiry."""
         self.key = key
         self.asker = asker
         self.number = number
@@ -133,12 +127,11 @@
 
 
 class HandOver(Record):
-    """Give all entries to two or more peers, each the whole, then exit."""
+    """Send the complete set of entries to at least two peers, then exit."""
 
     __slots__ = ('entries',)
 
     def __init__(self, *, entries: tuple[HandOverEntry, ...]) -> None:
-        """Take what the heirs must know."""
         self.entries = entries
 
 
--- a/src/lovageshunt/idempotency/_arriving.py
+++ b/src/lovageshunt/idempotency/_arriving.py
@@ -1,4 +1,4 @@
-"""What is done with an attempt when it arrives."""
+"""Handling of attempts when they arrive."""
 
 from lovageshunt._record import Record
 from lovageshunt.calls import RefusalReason
@@ -10,7 +10,7 @@
     Wait,
 )
 from lovageshunt.idempotency._deciding import decide
-from lovageshunt.idempotency._entry import Arrival, Entry
+from lovageshunt.idempotency._entry import Attempt, Entry
 from lovageshunt.idempotency._events import AttemptReceived
 from lovageshunt.idempotency._inquiring import start_inquiry
 from lovageshunt.idempotency._records import Identity, identity_of
@@ -25,105 +25,113 @@
 _JOINABLE_STATES = frozenset(('queued', 'running', 'inquiring'))
 
 
-class _Attempt(Record):
-    """An arrival with all that decides what becomes of it."""
+class _Request(Record):
+    """An arrived attempt with the values derived from its event.
 
-    __slots__ = ('event', 'arrival', 'born_at', 'named', 'peers')
+    ``began_at`` is the earliest time at which the call may have begun, in
+    seconds of the node's clock. ``stamped_home`` is the node that the stamp
+    names, ``None`` without a stamp or if it names this node.
+    """
+
+    __slots__ = ('event', 'attempt', 'began_at', 'stamped_home', 'peers')
 
     def __init__(
         self,
         *,
         event: AttemptReceived,
-        arrival: Arrival,
-        born_at: float,
-        named: Identity | None,
+        attempt: Attempt,
+        began_at: float,
+        stamped_home: Identity | None,
         peers: set[Identity],
     ) -> None:
-        """Take the event and what follows from it."""
         self.event = event
-        self.arrival = arrival
-        self.born_at = born_at
-        self.named = named
+        self.attempt = attempt
+        self.began_at = began_at
+        self.stamped_home = stamped_home
         self.peers = peers
 
     @property
     def is_first(self) -> bool:
-        """Return whether the caller says that no attempt went before."""
-        return self.arrival.attempt == FIRST_ATTEMPT
+        """Return whether the sender states that this is the first attempt."""
+        return self.attempt.number == FIRST_ATTEMPT
 
 
 @decide.register
-def _on_requested(
+def _on_attempt_received(
     event: AttemptReceived,
     state: NodeState,
     now: float,
 ) -> list[Action]:
-    attempt = _read(event, state, now)
+    request = _request_of(event, state, now)
     entry = state.find(event.key, now)
     if entry is None:
-        return _first_seen(attempt, state, now)
+        return _handle_new(request, state, now)
     if entry.ending is not None:
         return [Replay(call_id=event.call_id, ending=entry.ending)]
     if entry.state in _JOINABLE_STATES:
-        state.join(entry, attempt.arrival)
+        state.add_waiter(entry, request.attempt)
         return [Wait(call_id=event.call_id)]
-    if entry.state == 'elsewhere' and entry.home in attempt.peers:
-        return [redirect(attempt.arrival, entry.home)]
-    return _reopen(attempt, state, entry, now)
+    if entry.state == 'elsewhere' and entry.home in request.peers:
+        return [redirect(request.attempt, entry.home)]
+    return _handle_known(request, state, entry, now)
 
 
-def _read(event: AttemptReceived, state: NodeState, now: float) -> _Attempt:
+def _request_of(
+    event: AttemptReceived,
+    state: NodeState,
+    now: float,
+) -> _Request:
     stamp = None if event.stamp is None else identity_of(event.stamp)
-    is_stamped_here = stamp == state.me
-    return _Attempt(
+    is_stamped_here = stamp == state.identity
+    return _Request(
         event=event,
-        arrival=Arrival(
+        attempt=Attempt(
             call_id=event.call_id,
-            attempt=event.attempt,
+            number=event.attempt,
             deadline=event.deadline,
             is_stamped_here=is_stamped_here,
         ),
-        born_at=state.born_at(event.age_ms, now),
-        named=None if is_stamped_here else stamp,
-        peers=set(map(identity_of, event.peers or ())) - {state.me},
+        began_at=state.earliest_start(event.age_ms, now),
+        stamped_home=None if is_stamped_here else stamp,
+        peers=set(map(identity_of, event.peers or ())) - {state.identity},
     )
 
 
-def _reopen(
-    attempt: _Attempt,
+def _handle_known(
+    request: _Request,
     state: NodeState,
     entry: Entry,
     now: float,
 ) -> list[Action]:
-    """Take up a call that was refused or left in doubt here before."""
-    if entry.is_blocked(attempt.event.attempt):
+    """Handle a call refused, left in doubt or promised away here before."""
+    if entry.is_blocked(request.event.attempt):
         return refuse_one(
-            attempt.arrival,
-            is_proved=attempt.event.attempt >= FIRST_ATTEMPT,
+            request.attempt,
+            is_proved_not_run=request.event.attempt >= FIRST_ATTEMPT,
             reason=RefusalReason.CANCELLED,
             retry_after_ms=state.settings.refusal_retry_ms,
         )
-    reason = _obstacle(attempt, state, now)
+    reason = _refusal_reason(request, state, now)
     if reason is not None:
         return refuse_one(
-            attempt.arrival,
-            is_proved=attempt.is_first,
+            request.attempt,
+            is_proved_not_run=request.is_first,
             reason=reason,
             retry_after_ms=state.settings.refusal_retry_ms,
         )
-    is_own = entry.state == 'refused' and attempt.arrival.is_stamped_here
-    if is_own and state.cautious_until <= now:
-        return _take(attempt, state, entry)
-    return _inquire(attempt, state, entry, now)
+    may_run_again = entry.state == 'refused' and request.attempt.is_stamped_here
+    if may_run_again and state.cautious_until <= now:
+        return _accept(request, state, entry)
+    return _inquire(request, state, entry, now)
 
 
-def _first_seen(
-    attempt: _Attempt,
+def _handle_new(
+    request: _Request,
     state: NodeState,
     now: float,
 ) -> list[Action]:
-    event = attempt.event
-    if event.stamp is not None and attempt.named in attempt.peers:
+    event = request.event
+    if event.stamp is not None and request.stamped_home in request.peers:
         return [
             Redirect(
                 call_id=event.call_id,
@@ -132,118 +140,122 @@
                 attempt=event.attempt,
             ),
         ]
-    reason = _obstacle(attempt, state, now)
+    reason = _refusal_reason(request, state, now)
     if reason is not None:
-        return _refuse_new(attempt, state, reason, now)
+        return _refuse_new(request, state, reason, now)
     if now < state.cautious_until:
-        return _inquire(attempt, state, None, now)
-    is_alone = not attempt.peers and not event.gone
-    is_settled = is_alone or state.is_settled_for(attempt.born_at)
-    if attempt.is_first and not is_settled:
-        return _refuse_new(attempt, state, RefusalReason.SETTLING, now)
-    has_right = attempt.is_first or attempt.arrival.is_stamped_here
-    if has_right and is_settled:
-        entry = state.create(event.key, born_at=attempt.born_at, now=now)
-        return _take(attempt, state, entry)
-    return _inquire(attempt, state, None, now)
-
-
-def _obstacle(
-    attempt: _Attempt,
+        return _inquire(request, state, None, now)
+    is_only_node = not request.peers and not event.gone
+    is_settled = is_only_node or state.is_settled_for(request.began_at)
+    if request.is_first and not is_settled:
+        return _refuse_new(request, state, RefusalReason.SETTLING, now)
+    may_run = request.is_first or request.attempt.is_stamped_here
+    if may_run and is_settled:
+        entry = state.create(event.key, began_at=request.began_at, now=now)
+        return _accept(request, state, entry)
+    return _inquire(request, state, None, now)
+
+
+def _refusal_reason(
+    request: _Request,
     state: NodeState,
     now: float,
 ) -> RefusalReason | None:
-    if attempt.born_at < now - state.settings.retention_seconds:
-        # It may have run and been forgotten, here as elsewhere.
+    if request.began_at < now - state.settings.retention_seconds:
+        # It may have run here or elsewhere and its entry may have expired.
         return RefusalReason.IN_DOUBT
     if state.is_leaving:
         return RefusalReason.LEAVING
-    if attempt.event.peers is None:
+    if request.event.peers is None:
         return RefusalReason.SETTLING
-    if attempt.is_first and attempt.named is not None:
-        # The home is gone, and only it might have run this one message.
+    if request.is_first and request.stamped_home is not None:
+        # The home is gone, and only it could have run this single message.
         return RefusalReason.STALE_PICTURE
     return None
 
 
 def _refuse_new(
-    attempt: _Attempt,
+    request: _Request,
     state: NodeState,
     reason: RefusalReason,
     now: float,
 ) -> list[Action]:
-    is_proved = attempt.is_first
-    if attempt.arrival.is_stamped_here and reason is RefusalReason.LEAVING:
-        is_proved = is_proved or _entomb(attempt, state, now)
+    is_proved = request.is_first
+    if request.attempt.is_stamped_here and reason is RefusalReason.LEAVING:
+        is_proved = is_proved or _store_tombstone(request, state, now)
     settings = state.settings
     return refuse_one(
-        attempt.arrival,
-        is_proved=is_proved,
+        request.attempt,
+        is_proved_not_run=is_proved,
         reason=reason,
         retry_after_ms=settings.refusal_retry_ms,
     )
 
 
-def _entomb(attempt: _Attempt, state: NodeState, now: float) -> bool:
-    """Record that no earlier attempt may run here; tell whether it is so."""
-    if attempt.event.attempt < FIRST_ATTEMPT:
+def _store_tombstone(request: _Request, state: NodeState, now: float) -> bool:
+    """Block this and all earlier attempts here; return whether it worked."""
+    if request.event.attempt < FIRST_ATTEMPT:
         return False
-    key = attempt.event.key
-    entry = state.create(key, born_at=attempt.born_at, now=now)
+    key = request.event.key
+    entry = state.create(key, began_at=request.began_at, now=now)
     if entry is None:
         return False
-    entry.refused_through = attempt.event.attempt
+    entry.refused_through = request.event.attempt
     settle_refused(state, entry)
     return True
 
 
-def _take(
-    attempt: _Attempt,
+def _accept(
+    request: _Request,
     state: NodeState,
     entry: Entry | None,
 ) -> list[Action]:
     if entry is None:
-        return _refuse_full(attempt, state)
+        return _refuse_full(request, state)
     entry.life.step('take')
     entry.epoch = state.epoch
-    entry.runner = attempt.event.call_id
-    state.join(entry, attempt.arrival)
-    return [Run(call_id=attempt.event.call_id)]
+    entry.runner = request.event.call_id
+    state.add_waiter(entry, request.attempt)
+    return [Run(call_id=request.event.call_id)]
 
 
 def _inquire(
-    attempt: _Attempt,
+    request: _Request,
     state: NodeState,
     entry: Entry | None,
     now: float,
 ) -> list[Action]:
-    event = attempt.event
-    born_at = attempt.born_at
+    event = request.event
+    began_at = request.began_at
     if entry is None:
-        entry = state.create(event.key, born_at=born_at, now=now)
+        entry = state.create(event.key, began_at=began_at, now=now)
     if entry is None:
-        return _refuse_full(attempt, state)
-    entry.born_at = min(entry.born_at, born_at)
-    state.join(entry, attempt.arrival)
-    suspects = state.suspects(event.gone, born_at=entry.born_at, now=now)
-    excused = state.excused(event.gone, born_at=entry.born_at, now=now)
+        return _refuse_full(request, state)
+    entry.began_at = min(entry.began_at, began_at)
+    state.add_waiter(entry, request.attempt)
+    possible_runners = state.possible_runners(
+        event.gone,
+        began_at=entry.began_at,
+        now=now,
+    )
+    ruled_out = state.ruled_out(event.gone, began_at=entry.began_at, now=now)
     return [
         Wait(call_id=event.call_id),
         *start_inquiry(
             state,
             entry,
-            asked=attempt.peers | suspects,
-            excused=excused,
-            named=entry.home or attempt.named,
+            asked=request.peers | possible_runners,
+            ruled_out=ruled_out,
+            named=entry.home or request.stamped_home,
             now=now,
         ),
     ]
 
 
-def _refuse_full(attempt: _Attempt, state: NodeState) -> list[Action]:
+def _refuse_full(request: _Request, state: NodeState) -> list[Action]:
     return refuse_one(
-        attempt.arrival,
-        is_proved=attempt.is_first,
+        request.attempt,
+        is_proved_not_run=request.is_first,
         reason=RefusalReason.TABLE_FULL,
         retry_after_ms=state.settings.doubt_retry_ms,
     )
--- a/src/lovageshunt/idempotency/_deciding.py
+++ b/src/lovageshunt/idempotency/_deciding.py
@@ -1,4 +1,4 @@
-"""The one decision of this package, told apart by the type of event."""
+"""The event handler of this package, dispatched on the event type."""
 
 from functools import singledispatch
 
@@ -9,8 +9,8 @@
 
 @singledispatch
 def decide(event: object, state: NodeState, now: float) -> list[Action]:
-    """Return what a node does about an event.
+    """Apply an event to the state; return the actions to carry out.
 
-    Raises ``UnknownEventError`` when nothing is registered for its type.
+    Raises ``UnknownEventError`` if no handler is registered for its type.
     """
     raise UnknownEventError(event)
--- a/src/lovageshunt/idempotency/_events.py
+++ b/src/lovageshunt/idempotency/_events.py
@@ -1,4 +1,4 @@
-"""What is told to the decision to run a call at most once."""
+"""Events that ``RunOnce`` handles."""
 
 from lovageshunt._record import Record
 from lovageshunt.calls import HomeStamp
@@ -14,12 +14,15 @@
 class AttemptReceived(Record):
     """An attempt of a call that must run at most once has arrived.
 
-    ``call_id`` names this arrival and is unique in the node; ``key`` names
-    the call and is the same at each attempt. ``attempt`` is that of the root
-    request, 0 when it is unknown. ``age_ms`` is ``None`` when not stated.
-    ``deadline`` is in seconds of the node's clock. ``peers`` are the other
-    nodes of the service that are listed, ``None`` when no list was ever
-    read; ``gone`` are those that were listed within the retention time.
+    - ``call_id``: identifies this arrival, unique within the node.
+    - ``key``: identifies the call, the same for all its attempts.
+    - ``attempt``: attempt number of the root request, 0 if unknown.
+    - ``deadline``: in seconds of the node's clock.
+    - ``stamp``: the node that the sender chose as the call's home.
+    - ``age_ms``: age of the root request, ``None`` if not stated.
+    - ``peers``: the other listed nodes of the service, ``None`` if no member
+      list was read yet.
+    - ``gone``: nodes that left the list within the retention time.
     """
 
     __slots__ = (
@@ -45,7 +48,6 @@
         peers: tuple[HomeStamp, ...] | None = None,
         gone: tuple[DepartedNode, ...] = (),
     ) -> None:
-        """Take what the arrival says and what the node knows of peers."""
         self.call_id = call_id
         self.key = key
         self.attempt = attempt
@@ -57,12 +59,11 @@
 
 
 class DispatchDue(Record):
-    """Admission let a call through; its first byte would be written next."""
+    """Admission accepted a call; nothing was sent to the target yet."""
 
     __slots__ = ('call_id',)
 
     def __init__(self, *, call_id: str) -> None:
-        """Name the arrival that was told to run."""
         self.call_id = call_id
 
 
@@ -75,39 +76,41 @@
 class Completed(Record):
     """A dispatched call ended.
 
-    An ending of *not run* is the target's own proof that nothing ran.
+    The outcome *not run* means that the target itself proved it.
     """
 
     __slots__ = ('key', 'ending')
 
     def __init__(self, *, key: str, ending: Ending) -> None:
-        """Take the call's key and how it ended."""
         self.key = key
         self.ending = ending
 
 
 class WaiterCancelled(Record):
-    """The caller of an arrival has gone; no answer is wanted."""
+    """The caller of an arrival disconnected and expects no answer."""
 
     __slots__ = ('call_id',)
 
     def __init__(self, *, call_id: str) -> None:
-        """Name the arrival."""
         self.call_id = call_id
 
 
 class RedirectFailed(Record):
-    """The home to which an arrival was sent could not be reached."""
+    """The home to which an arrival was redirected was unreachable."""
 
     __slots__ = ('call_id',)
 
     def __init__(self, *, call_id: str) -> None:
-        """Name the arrival."""
         self.call_id = call_id
 
 
 class InquiryReceived(Record):
-    """A peer asks whether a call ran here, and for a promise that it won't."""
+    """A peer asks whether a call ran here and for a promise not to run it.
+
+    ``age_ms`` is the age of the call at the asker and ``digest`` covers the
+    nodes that the asker knows. ``peers`` and ``gone`` are what this node
+    knows, as in ``AttemptReceived``.
+    """
 
     __slots__ = (
         'key',
@@ -130,7 +133,6 @@
         peers: tuple[HomeStamp, ...] = (),
         gone: tuple[DepartedNode, ...] = (),
     ) -> None:
-        """Take the question and what the inquired node knows of peers."""
         self.key = key
         self.asker = asker
         self.age_ms = age_ms
@@ -141,7 +143,7 @@
 
 
 class InquiryAnswered(Record):
-    """A peer answered an inquiry of this node."""
+    """A peer answered inquiry ``number`` of this node."""
 
     __slots__ = ('key', 'peer', 'number', 'answer')
 
@@ -153,7 +155,6 @@
         number: int,
         answer: InquiryAnswer,
     ) -> None:
-        """Take the answer and the inquiry it belongs to."""
         self.key = key
         self.peer = peer
         self.number = number
@@ -161,12 +162,11 @@
 
 
 class InquiryFailed(Record):
-    """A peer could not be asked, or another incarnation answered."""
+    """A peer gave no usable answer to inquiry ``number`` of this node."""
 
     __slots__ = ('key', 'peer', 'number')
 
     def __init__(self, *, key: str, peer: HomeStamp, number: int) -> None:
-        """Name the peer and the inquiry."""
         self.key = key
         self.peer = peer
         self.number = number
@@ -175,44 +175,46 @@
 class Settled(Record):
     """Every listed peer confirmed that it lists this node's incarnation.
 
-    Until then an inquiry elsewhere may miss this node, so it takes no first
-    attempt unless it is the only node listed. It is told again after a
-    suspension of the retention time or longer.
+    Until then an inquiry by a peer may miss this node, so it accepts no first
+    attempt unless it is the only node listed. The event is repeated after a
+    suspension of at least the retention time.
     """
 
     __slots__ = ()
 
 
 class Ticked(Record):
-    """Time passed; due a few times within ``inquiry_seconds``."""
+    """A periodic tick, sent several times per ``inquiry_seconds``."""
 
     __slots__ = ()
 
 
 class Resumed(Record):
-    """The process was suspended, or its loop stalled, for so long."""
+    """The process was suspended, or its event loop stalled.
+
+    ``gap_seconds`` is the duration.
+    """
 
     __slots__ = ('gap_seconds',)
 
     def __init__(self, *, gap_seconds: float) -> None:
-        """Take the length of the gap."""
         self.gap_seconds = gap_seconds
 
 
 class Leaving(Record):
-    """The node begins a planned stop and takes no new calls."""
+    """The node begins a planned stop and accepts no new calls."""
 
     __slots__ = ()
 
 
 class Drained(Record):
-    """Everything that ran has ended, or the drain's time is over."""
+    """All running calls ended, or the drain timeout expired."""
 
     __slots__ = ()
 
 
 class HandOverReceived(Record):
-    """A peer that leaves hands over the calls it knows."""
+    """A leaving peer handed over all entries of its table."""
 
     __slots__ = ('leaver', 'entries')
 
@@ -222,7 +224,6 @@
         leaver: HomeStamp,
         entries: tuple[HandOverEntry, ...],
     ) -> None:
-        """Take the leaver and all of its calls."""
         self.leaver = leaver
         self.entries = entries
 
--- a/src/lovageshunt/idempotency/_inquiring.py
+++ b/src/lovageshunt/idempotency/_inquiring.py
@@ -1,4 +1,4 @@
-"""Asking peers about a call, and answering them."""
+"""Inquiries to peers about a call, and answers to theirs."""
 
 from collections.abc import Iterable
 
@@ -29,7 +29,7 @@
 )
 from lovageshunt.idempotency._refusing import (
     FIRST_ATTEMPT,
-    doubt_all,
+    end_in_doubt,
     refuse_all,
     refuse_one,
     settle_refused,
@@ -46,69 +46,74 @@
     entry: Entry,
     *,
     asked: set[Identity],
-    excused: set[Identity],
+    ruled_out: set[Identity],
     named: Identity | None,
     now: float,
 ) -> list[Action]:
     """Ask every node that may have run a call, or may yet run it.
 
-    ``named`` is a home that a stamp or an earlier promise names; without
-    its word, or that of its heir, there is no proof. ``excused`` had ended
-    before the call began.
+    ``named`` is a home that a stamp or an earlier promise names; the inquiry
+    proves nothing without an answer from it or from a peer that received its
+    hand-over. ``ruled_out`` are departed nodes that ended before the call
+    began.
     """
     inquiry = Inquiry(
-        number=state.next_number(),
+        number=state.next_inquiry_number(),
         due_at=now + state.settings.inquiry_seconds,
-        is_witnessed=state.is_settled_for(entry.born_at),
-        digest=digest_of(asked | {state.me}),
+        is_witnessed=state.is_settled_for(entry.began_at),
+        digest=digest_of(asked | {state.identity}),
     )
-    inquiry.cover(state.expiry_by_leaver)
-    inquiry.cover(excused)
+    inquiry.add_covered(state.expiry_by_leaver)
+    inquiry.add_covered(ruled_out)
     entry.life.step('inquire')
     entry.home = named
     entry.inquiry = inquiry
     state.inquiring[entry.key] = entry
     if named is not None:
-        inquiry.require(named)
+        inquiry.require_answer(named)
         asked = asked | {named}
     return [
-        *_ask(state, entry, inquiry, asked, now),
-        *_conclude(state, entry, inquiry),
+        *_send_inquiries(state, entry, inquiry, asked, now),
+        *_conclude_if_done(state, entry, inquiry),
     ]
 
 
 @decide.register
-def _on_inquired(
+def _on_inquiry_received(
     event: InquiryReceived,
     state: NodeState,
     now: float,
 ) -> list[Action]:
-    # An answer that took longer than the inquiry may is not used.
+    # An inquiry that was sent earlier has already timed out at the asker.
     asked_at = now - state.settings.inquiry_seconds
-    born_at = asked_at - event.age_ms / MS_PER_SECOND
+    began_at = asked_at - event.age_ms / MS_PER_SECOND
     entry = state.find(event.key, now)
     if entry is None:
-        entry = state.create(event.key, born_at=born_at, now=now)
+        entry = state.create(event.key, began_at=began_at, now=now)
     if entry is None:
-        return [_reply(event, _plain_answer(state, Claim.CANNOT_SAY))]
+        return [_reply(event, _claim_only(state, Claim.CANNOT_SAY))]
     asker = identity_of(event.asker)
-    if _is_held(state, entry, asker):
-        return [_reply(event, _plain_answer(state, Claim.MINE))]
-    before = _promised_before(entry, asker)
-    moved = []
+    if _is_held_here(state, entry, asker):
+        return [_reply(event, _claim_only(state, Claim.MINE))]
+    earlier_home = _earlier_promise(entry, asker)
+    redirects = []
     if entry.state != 'elsewhere':
-        moved = yield_to(state, entry, asker)
-    suspects = state.suspects(event.gone, born_at=born_at, now=now)
+        redirects = yield_to(state, entry, asker)
+    possible_runners = state.possible_runners(
+        event.gone,
+        began_at=began_at,
+        now=now,
+    )
     answer = InquiryAnswer(
         claim=Claim.WILL_NOT_RUN,
-        answerer=stamp_of(state.me),
-        home=before,
+        answerer=stamp_of(state.identity),
+        home=earlier_home,
         refused_through=entry.refused_through,
-        known=_unknown_to(event, state, suspects),
+        known=_nodes_to_report(event, state, possible_runners),
         covered=tuple(map(stamp_of, state.expiry_by_leaver)),
-        is_witness=state.is_settled_for(min(born_at, entry.born_at)),
+        is_witness=state.is_settled_for(min(began_at, entry.began_at)),
     )
-    return [_reply(event, answer), *moved]
+    return [_reply(event, answer), *redirects]
 
 
 @decide.register
@@ -126,18 +131,18 @@
     if answer.claim is Claim.MINE:
         return yield_to(state, entry, peer)
     if answer.answerer != event.peer:
-        inquiry.fail([identity_of(event.peer)])
-        inquiry.ask([peer])
-    inquiry.take(peer, answer)
+        inquiry.add_failed([identity_of(event.peer)])
+        inquiry.add_asked([peer])
+    inquiry.record_answer(peer, answer)
     entry.refused_through = max(entry.refused_through, answer.refused_through)
-    widened = set(map(identity_of, answer.known))
+    to_ask = set(map(identity_of, answer.known))
     if answer.home is not None:
         named = identity_of(answer.home)
-        inquiry.require(named)
-        widened.add(named)
+        inquiry.require_answer(named)
+        to_ask.add(named)
     return [
-        *_ask(state, entry, inquiry, widened, now),
-        *_conclude(state, entry, inquiry),
+        *_send_inquiries(state, entry, inquiry, to_ask, now),
+        *_conclude_if_done(state, entry, inquiry),
     ]
 
 
@@ -151,8 +156,8 @@
     inquiry = None if entry is None else entry.inquiry
     if entry is None or inquiry is None or inquiry.number != event.number:
         return []
-    inquiry.fail([identity_of(event.peer)])
-    return _conclude(state, entry, inquiry)
+    inquiry.add_failed([identity_of(event.peer)])
+    return _conclude_if_done(state, entry, inquiry)
 
 
 @decide.register
@@ -162,8 +167,8 @@
     for entry in list(state.inquiring.values()):
         inquiry = entry.inquiry
         if inquiry is not None and inquiry.due_at <= now:
-            inquiry.fail(tuple(inquiry.pending))
-            actions.extend(_conclude(state, entry, inquiry))
+            inquiry.add_failed(tuple(inquiry.pending))
+            actions.extend(_conclude_if_done(state, entry, inquiry))
     return actions
 
 
@@ -176,12 +181,13 @@
 
 
 @decide.register
-def _on_woke(event: Resumed, state: NodeState, now: float) -> list[Action]:
-    """Trust nothing that was read before the gap.
+def _on_resumed(event: Resumed, state: NodeState, now: float) -> list[Action]:
+    """Invalidate what was read before the suspension.
 
-    Messages may have waited in the process's own buffers, so entries are
-    kept for as long as it was suspended beyond their time. After a gap as
-    long as peers remember who departed, the node must settle anew.
+    Messages may have waited in this process's own buffers, so every expiry is
+    extended by the length of the suspension. After a suspension of
+    ``retention_seconds`` peers no longer remember this node as departed, so
+    it must settle again.
     """
     state.epoch += 1
     if state.settings.retention_seconds <= event.gap_seconds:
@@ -193,28 +199,29 @@
         state.expiry_by_leaver[leaver] += event.gap_seconds
     actions: list[Action] = []
     for inquiring in list(state.inquiring.values()):
-        actions.extend(doubt_all(state, inquiring))
+        actions.extend(end_in_doubt(state, inquiring))
     return actions
 
 
-def _ask(
+def _send_inquiries(
     state: NodeState,
     entry: Entry,
     inquiry: Inquiry,
     asked: Iterable[Identity],
     now: float,
 ) -> list[Action]:
-    fresh = inquiry.ask(set(asked) - {state.me})
-    # This incarnation answers at the address of the earlier ones.
-    earlier = [each for each in fresh if each[0] == state.me[0]]
-    inquiry.fail(earlier)
-    if state.started_at < entry.born_at:
-        inquiry.replace(state.me)
+    fresh = inquiry.add_asked(set(asked) - {state.identity})
+    # Earlier incarnations of this node cannot be asked: this one answers at
+    # their address.
+    earlier = [each for each in fresh if each[0] == state.identity[0]]
+    inquiry.add_failed(earlier)
+    if state.started_at < entry.began_at:
+        inquiry.add_witness(state.identity)
     return [
         Inquire(
             key=entry.key,
             peer=stamp_of(peer),
-            age_ms=round((now - entry.born_at) * MS_PER_SECOND),
+            age_ms=round((now - entry.began_at) * MS_PER_SECOND),
             number=inquiry.number,
             digest=inquiry.digest,
         )
@@ -223,48 +230,48 @@
     ]
 
 
-def _conclude(
+def _conclude_if_done(
     state: NodeState,
     entry: Entry,
     inquiry: Inquiry,
 ) -> list[Action]:
     if inquiry.pending:
         return []
-    if not inquiry.is_proof():
-        return doubt_all(state, entry)
-    return _win(state, entry)
+    if not inquiry.is_conclusive():
+        return end_in_doubt(state, entry)
+    return _grant_run(state, entry)
 
 
-def _win(state: NodeState, entry: Entry) -> list[Action]:
+def _grant_run(state: NodeState, entry: Entry) -> list[Action]:
     entry.is_exclusive = True
     entry.home = None
     entry.epoch = state.epoch
     entry.inquiry = None
     state.inquiring.pop(entry.key, None)
-    actions = _answer_blocked(state, entry)
-    runner = next(iter(entry.by_call_id), None)
+    actions = _refuse_blocked(state, entry)
+    runner = next(iter(entry.waiting_by_call_id), None)
     if runner is None:
         settle_refused(state, entry)
         return actions
     if state.is_leaving:
         retry_after_ms = state.settings.refusal_retry_ms
-        leaving = RefusalReason.LEAVING
-        return actions + refuse_all(state, entry, leaving, retry_after_ms)
+        reason = RefusalReason.LEAVING
+        return actions + refuse_all(state, entry, reason, retry_after_ms)
     entry.life.step('win')
     entry.runner = runner
     return [*actions, Run(call_id=runner)]
 
 
-def _answer_blocked(state: NodeState, entry: Entry) -> list[Action]:
+def _refuse_blocked(state: NodeState, entry: Entry) -> list[Action]:
     actions: list[Action] = []
-    for arrival in list(entry.by_call_id.values()):
-        if not entry.is_blocked(arrival.attempt):
+    for attempt in list(entry.waiting_by_call_id.values()):
+        if not entry.is_blocked(attempt.number):
             continue
-        state.leave(entry, arrival.call_id)
+        state.remove_waiter(entry, attempt.call_id)
         actions.extend(
             refuse_one(
-                arrival,
-                is_proved=arrival.attempt >= FIRST_ATTEMPT,
+                attempt,
+                is_proved_not_run=attempt.number >= FIRST_ATTEMPT,
                 reason=RefusalReason.CANCELLED,
                 retry_after_ms=state.settings.refusal_retry_ms,
             ),
@@ -272,32 +279,35 @@
     return actions
 
 
-def _is_held(state: NodeState, entry: Entry, asker: Identity) -> bool:
+def _is_held_here(state: NodeState, entry: Entry, asker: Identity) -> bool:
     if entry.state in _ASKING_STATES:
-        return state.me < asker
+        return state.identity < asker
     return entry.state in _HELD_STATES
 
 
-def _unknown_to(
+def _nodes_to_report(
     event: InquiryReceived,
     state: NodeState,
-    suspects: set[Identity],
+    possible_runners: set[Identity],
 ) -> tuple[HomeStamp, ...]:
-    """Return the nodes known here, unless the asker knows the same."""
-    known = suspects.union(map(identity_of, event.peers), (state.me,))
+    """Return the nodes known here; empty if the asker knows the same."""
+    known = possible_runners.union(
+        map(identity_of, event.peers),
+        (state.identity,),
+    )
     if digest_of(known) == event.digest:
         return ()
     return tuple(map(stamp_of, sorted(known)))
 
 
-def _promised_before(entry: Entry, asker: Identity) -> HomeStamp | None:
+def _earlier_promise(entry: Entry, asker: Identity) -> HomeStamp | None:
     if entry.home is None or entry.home == asker:
         return None
     return stamp_of(entry.home)
 
 
-def _plain_answer(state: NodeState, claim: Claim) -> InquiryAnswer:
-    return InquiryAnswer(claim=claim, answerer=stamp_of(state.me))
+def _claim_only(state: NodeState, claim: Claim) -> InquiryAnswer:
+    return InquiryAnswer(claim=claim, answerer=stamp_of(state.identity))
 
 
 def _reply(event: InquiryReceived, answer: InquiryAnswer) -> AnswerInquiry:
--- a/src/lovageshunt/idempotency/_leaving.py
+++ b/src/lovageshunt/idempotency/_leaving.py
@@ -1,4 +1,4 @@
-"""What a leaving node tells its heirs, and what they keep of it."""
+"""Hand-over of entries from a leaving node to its peers."""
 
 from lovageshunt.calls import Outcome, RefusalReason
 from lovageshunt.idempotency._actions import Action, HandOver, Replay
@@ -20,11 +20,11 @@
 @decide.register
 def _on_drained(event: Drained, state: NodeState, now: float) -> list[Action]:
     state.is_leaving = True
-    # What has not been dispatched by now never is.
+    # Calls that are still queued must no longer be dispatched.
     state.epoch += 1
     state.expire(now)
     entries = tuple(
-        _handed(entry)
+        _hand_over_entry(entry)
         for entry in state.entry_by_key.values()
         if entry.state in _HELD_STATES or entry.refused_through
     )
@@ -32,7 +32,7 @@
 
 
 @decide.register
-def _on_handed_over(
+def _on_hand_over_received(
     event: HandOverReceived,
     state: NodeState,
     now: float,
@@ -43,17 +43,17 @@
         for handed in event.entries
         if handed.key not in state.entry_by_key
     ]
-    room = state.settings.max_entries - len(state.entry_by_key)
-    if room < len(fresh):
+    spare_entries = state.settings.max_entries - len(state.entry_by_key)
+    if spare_entries < len(fresh):
         return []
     actions: list[Action] = []
     for handed in event.entries:
-        actions.extend(_inherit(handed, state, now))
+        actions.extend(_import_entry(handed, state, now))
     state.expiry_by_leaver[identity_of(event.leaver)] = state.expiry_from(now)
     return actions
 
 
-def _handed(entry: Entry) -> HandOverEntry:
+def _hand_over_entry(entry: Entry) -> HandOverEntry:
     ending = entry.ending
     if ending is None and entry.state in _HELD_STATES:
         ending = Ending(
@@ -67,7 +67,7 @@
     )
 
 
-def _inherit(
+def _import_entry(
     handed: HandOverEntry,
     state: NodeState,
     now: float,
@@ -75,7 +75,7 @@
     entry = state.entry_by_key.get(handed.key)
     is_new = entry is None
     if entry is None:
-        entry = state.create(handed.key, born_at=now, now=now)
+        entry = state.create(handed.key, began_at=now, now=now)
     if entry is None or entry.state in _HELD_STATES:
         return []
     entry.refused_through = max(entry.refused_through, handed.refused_through)
@@ -84,10 +84,10 @@
             entry.life.step('refuse')
         return []
     entry.life.step('end')
-    state.keep(entry, handed.ending)
+    state.store_ending(entry, handed.ending)
     entry.inquiry = None
     state.inquiring.pop(entry.key, None)
     return [
         Replay(call_id=waiter.call_id, ending=handed.ending)
-        for waiter in state.release(entry)
+        for waiter in state.release_waiters(entry)
     ]
--- a/src/lovageshunt/idempotency/_records.py
+++ b/src/lovageshunt/idempotency/_records.py
@@ -1,4 +1,4 @@
-"""What events, actions and entries are made of."""
+"""Records and helpers that events, actions and table entries share."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -8,28 +8,27 @@
 from lovageshunt._record import Record
 from lovageshunt.calls import HomeStamp, Outcome, RefusalReason
 
-#: A node's name and its incarnation.
+#: Node name and incarnation; hashable, unlike ``HomeStamp``.
 Identity = tuple[str, str]
 
 
 def identity_of(home: HomeStamp) -> Identity:
-    """Return a stamp as a key that sets and dictionaries take."""
+    """Return a stamp as a hashable key for sets and dictionaries."""
     return (home.node, home.incarnation)
 
 
 def stamp_of(identity: Identity) -> HomeStamp:
-    """Return the stamp of an identity."""
     return HomeStamp(node=identity[0], incarnation=identity[1])
 
 
 def digest_of(identities: Iterable[Identity]) -> int:
-    """Return a digest of a set of nodes, the same in every process."""
+    """Return a 64-bit digest of a set of nodes, stable across processes."""
     names = '\n'.join(' '.join(identity) for identity in sorted(identities))
     return xxh3_64_intdigest(names.encode())
 
 
 class StoredAnswer(Record):
-    """A whole answer, kept for later attempts of the same call."""
+    """A complete HTTP response, stored to replay to later attempts."""
 
     __slots__ = ('status', 'headers', 'body')
 
@@ -40,16 +39,16 @@
         headers: tuple[tuple[str, str], ...],
         body: bytes,
     ) -> None:
-        """Take the parts of the answer."""
         self.status = status
         self.headers = headers
         self.body = body
 
 
 class Ending(Record):
-    """How a call that was dispatched ended, for every attempt of it.
+    """The final result of a dispatched call, valid for all its attempts.
 
-    ``answer`` is ``None`` when there is none or it was too large to keep.
+    ``reason`` says why there is no answer. ``answer`` is ``None`` when there
+    is none or it was too large to store.
     """
 
     __slots__ = ('outcome', 'reason', 'answer')
@@ -61,18 +60,18 @@
         reason: RefusalReason | None = None,
         answer: StoredAnswer | None = None,
     ) -> None:
-        """Take the outcome and what is kept of the answer."""
         self.outcome = outcome
         self.reason = reason
         self.answer = answer
 
 
 class DepartedNode(Record):
-    """A node that was listed lately and no longer is.
+    """A node that was removed from the member list within the retention time.
 
-    ``seconds_ago`` tells since when it is missed. ``is_proved_dead`` is true
-    only when its process is known to have ended, as when another incarnation
-    answers at its address; then calls younger than that cannot be its own.
+    ``seconds_ago`` is the time since it was first missing from the list.
+    ``is_proved_dead`` is true only when its process is known to have ended,
+    for example because another incarnation answers at its address; calls
+    that began after that cannot have run there.
     """
 
     __slots__ = ('home', 'seconds_ago', 'is_proved_dead')
@@ -84,18 +83,17 @@
         seconds_ago: float,
         is_proved_dead: bool = False,
     ) -> None:
-        """Name the node and what is known of its end."""
         self.home = home
         self.seconds_ago = seconds_ago
         self.is_proved_dead = is_proved_dead
 
 
 class Claim(StrEnum):
-    """What an inquired node says of a call.
+    """The status of a call at the node that answers an inquiry.
 
-    ``WILL_NOT_RUN``: it did not run the call and promises not to.
-    ``MINE``: the call is, was or may be run there. ``CANNOT_SAY``: it is too
-    full to promise.
+    - ``WILL_NOT_RUN``: it did not run the call and promises not to.
+    - ``MINE``: it ran, runs or may yet run the call.
+    - ``CANNOT_SAY``: its table is full, so it cannot store a promise.
     """
 
     WILL_NOT_RUN = 'will_not_run'
@@ -106,15 +104,16 @@
 class InquiryAnswer(Record):
     """The answer of one node to an inquiry.
 
-    ``answerer`` is the node and incarnation that answers. A later one at the
-    address of the one that was asked has no word to give for it.
-    ``home`` names the node to which the answering one gave its promise
-    before. Attempts up to ``refused_through`` were told *not run*.
-    ``known`` lists the nodes of the service that the answering one knows,
-    unless the asker's digest of them is the same, and ``covered`` the
-    departed ones whose keys were handed to it. ``is_witness`` is true when
-    it was settled before the call began, and so knows of every node that may
-    have taken its first attempt.
+    - ``answerer``: the node and incarnation that answers. A later incarnation
+      at the address that was asked cannot promise for the earlier one.
+    - ``home``: the node to which the answering one gave an earlier promise.
+    - ``refused_through``: attempts up to this number were refused as
+      *not run*.
+    - ``known``: the nodes of the service that the answering one knows; empty
+      when the asker's digest shows that it knows the same.
+    - ``covered``: departed nodes that handed their entries to this one.
+    - ``is_witness``: whether the node was settled before the call began, and
+      so knows every node that may have accepted its first attempt.
     """
 
     __slots__ = (
@@ -138,7 +137,6 @@
         covered: tuple[HomeStamp, ...] = (),
         is_witness: bool = False,
     ) -> None:
-        """Take the claim and what the answering node knows beside."""
         self.claim = claim
         self.answerer = answerer
         self.home = home
@@ -149,9 +147,10 @@
 
 
 class HandOverEntry(Record):
-    """What a leaving node tells its heirs of one call.
+    """One call in the hand-over from a leaving node to its peers.
 
     ``ending`` is ``None`` for a call that was refused and did not run.
+    Attempts up to ``refused_through`` were refused as *not run*.
     """
 
     __slots__ = ('key', 'ending', 'refused_through')
@@ -163,14 +162,13 @@
         ending: Ending | None,
         refused_through: int,
     ) -> None:
-        """Take the key and what became of it."""
         self.key = key
         self.ending = ending
         self.refused_through = refused_through
 
 
 class RefusedCall(Record):
-    """One arrival that is not run now: why, and when to come back."""
+    """A refused arrival: the reason and the delay before a retry."""
 
     __slots__ = ('call_id', 'reason', 'retry_after_ms')
 
@@ -181,7 +179,6 @@
         reason: RefusalReason,
         retry_after_ms: int,
     ) -> None:
-        """Name the arrival, why, and when to come back."""
         self.call_id = call_id
         self.reason = reason
         self.retry_after_ms = retry_after_ms
--- a/src/lovageshunt/idempotency/_refusing.py
+++ b/src/lovageshunt/idempotency/_refusing.py
@@ -1,4 +1,4 @@
-"""How attempts are refused, and what is remembered of it."""
+"""Refusal and redirection of attempts, and the tombstones of refusals."""
 
 from lovageshunt.calls import RefusalReason
 from lovageshunt.idempotency._actions import (
@@ -7,11 +7,11 @@
     AnswerUnknown,
     Redirect,
 )
-from lovageshunt.idempotency._entry import Arrival, Entry
+from lovageshunt.idempotency._entry import Attempt, Entry
 from lovageshunt.idempotency._records import Identity, stamp_of
 from lovageshunt.idempotency._state import NodeState
 
-#: A first attempt is one message, so a refusal of it needs no memory.
+#: A first attempt is a single message, so its refusal needs no tombstone.
 FIRST_ATTEMPT = 1
 
 
@@ -21,25 +21,25 @@
     reason: RefusalReason,
     retry_after_ms: int,
 ) -> list[Action]:
-    """Refuse every attempt at an entry of which nothing was dispatched.
+    """Refuse every waiting attempt of an entry that did not run.
 
-    *Not run* is said only where no earlier attempt can run any more: to
-    a first attempt, to one that is stamped with this home, or when every
-    other node gave its promise.
+    The answer is *not run* only if no earlier attempt can still run: for a
+    first attempt, for one stamped with this node as its home, or when every
+    other node gave its promise. Otherwise it is *unknown*.
     """
-    arrivals = state.release(entry)
-    proved = [each for each in arrivals if _is_proved(entry, each)]
-    highest = max((each.attempt for each in proved), default=0)
+    attempts = state.release_waiters(entry)
+    proved = [each for each in attempts if _is_proved_not_run(entry, each)]
+    highest = max((each.number for each in proved), default=0)
     entry.refused_through = max(entry.refused_through, highest)
     settle_refused(state, entry)
     return [
         _refusal(each, each in proved, reason, retry_after_ms)
-        for each in arrivals
+        for each in attempts
     ]
 
 
 def settle_refused(state: NodeState, entry: Entry) -> None:
-    """Keep a tombstone where one is needed; forget the entry elsewhere."""
+    """Turn an entry into a tombstone, or drop it if none is needed."""
     entry.life.step('refuse')
     entry.is_exclusive = False
     entry.inquiry = None
@@ -48,72 +48,72 @@
         state.drop(entry)
 
 
-def doubt_all(
+def end_in_doubt(
     state: NodeState,
     entry: Entry,
     reason: RefusalReason = RefusalReason.IN_DOUBT,
 ) -> list[Action]:
-    """End an inquiry without proof; nothing of the call runs here."""
+    """End an inquiry without proof; no attempt of the call runs here."""
     entry.life.step('doubt')
     entry.inquiry = None
     state.inquiring.pop(entry.key, None)
     retry_after_ms = state.settings.doubt_retry_ms
     return [
-        _refusal(each, each.attempt == FIRST_ATTEMPT, reason, retry_after_ms)
-        for each in state.release(entry)
+        _refusal(each, each.number == FIRST_ATTEMPT, reason, retry_after_ms)
+        for each in state.release_waiters(entry)
     ]
 
 
 def refuse_one(
-    arrival: Arrival,
+    attempt: Attempt,
     *,
-    is_proved: bool,
+    is_proved_not_run: bool,
     reason: RefusalReason,
     retry_after_ms: int,
 ) -> list[Action]:
-    """Refuse one attempt that waits at no entry."""
-    return [_refusal(arrival, is_proved, reason, retry_after_ms)]
+    """Refuse one attempt that does not wait at an entry."""
+    return [_refusal(attempt, is_proved_not_run, reason, retry_after_ms)]
 
 
 def yield_to(state: NodeState, entry: Entry, home: Identity) -> list[Action]:
-    """Promise a call to another node and send waiting attempts there."""
+    """Promise a call to another node and redirect waiting attempts there."""
     entry.life.step('promise')
     entry.home = home
     entry.inquiry = None
     state.inquiring.pop(entry.key, None)
-    return [redirect(each, home) for each in state.release(entry)]
+    return [redirect(each, home) for each in state.release_waiters(entry)]
 
 
-def redirect(arrival: Arrival, home: Identity) -> Redirect:
-    """Return the action that sends an attempt to the promised home.
+def redirect(attempt: Attempt, home: Identity) -> Redirect:
+    """Return the action that redirects an attempt to the promised home.
 
-    It carries no stamp, and a first attempt loses its number: a home that
-    has forgotten the call must inquire and not run it.
+    It is sent without a stamp, and a first attempt without its number, so
+    that a home that no longer has the entry inquires before it runs the call.
     """
-    is_first = arrival.attempt == FIRST_ATTEMPT
+    is_first = attempt.number == FIRST_ATTEMPT
     return Redirect(
-        call_id=arrival.call_id,
+        call_id=attempt.call_id,
         home=stamp_of(home),
         stamp=None,
-        attempt=0 if is_first else arrival.attempt,
+        attempt=0 if is_first else attempt.number,
     )
 
 
-def _is_proved(entry: Entry, arrival: Arrival) -> bool:
-    if arrival.attempt <= FIRST_ATTEMPT:
-        return arrival.attempt == FIRST_ATTEMPT
-    return arrival.is_stamped_here or entry.is_exclusive
+def _is_proved_not_run(entry: Entry, attempt: Attempt) -> bool:
+    if attempt.number <= FIRST_ATTEMPT:
+        return attempt.number == FIRST_ATTEMPT
+    return attempt.is_stamped_here or entry.is_exclusive
 
 
 def _refusal(
-    arrival: Arrival,
-    is_proved: bool,
+    attempt: Attempt,
+    is_proved_not_run: bool,
     reason: RefusalReason,
     retry_after_ms: int,
 ) -> Action:
-    kind = AnswerNotRun if is_proved else AnswerUnknown
+    kind = AnswerNotRun if is_proved_not_run else AnswerUnknown
     return kind(
-        call_id=arrival.call_id,
+        call_id=attempt.call_id,
         reason=reason,
         retry_after_ms=retry_after_ms,
     )
--- a/src/lovageshunt/idempotency/_run_once.py
+++ b/src/lovageshunt/idempotency/_run_once.py
@@ -1,4 +1,4 @@
-"""The decision of one node to run a call at most once."""
+"""At-most-once execution at one node, as a state machine without I/O."""
 
 from lovageshunt.calls import HomeStamp
 from lovageshunt.idempotency import _arriving, _inquiring, _leaving, _running
@@ -8,15 +8,16 @@
 from lovageshunt.idempotency._settings import RunOnceSettings
 from lovageshunt.idempotency._state import NodeState
 
-#: The modules that register what is decided about each event.
-_PARTS = (_arriving, _inquiring, _leaving, _running)
+#: Importing these modules registers their event handlers.
+_HANDLER_MODULES = (_arriving, _inquiring, _leaving, _running)
 
 
 class RunOnce:
     """Decides, for one service at one node, which attempts may run.
 
-    ``started_at`` and every ``now`` are seconds of one clock that counts
-    suspension; no other node's clock is compared with it.
+    ``started_at`` and every ``now`` are seconds of one clock that also
+    advances during suspension; it is never compared with the clock of
+    another node.
     """
 
     __slots__ = ('service', '_state')
@@ -30,10 +31,9 @@
         started_at: float,
         settings: RunOnceSettings,
     ) -> None:
-        """Begin with an empty table."""
         self.service = service
         self._state = NodeState(
-            me=(node, incarnation),
+            identity=(node, incarnation),
             started_at=started_at,
             settings=settings,
         )
@@ -41,14 +41,14 @@
     @property
     def home(self) -> HomeStamp:
         """Return the stamp that makes this node the home of a call."""
-        node, incarnation = self._state.me
+        node, incarnation = self._state.identity
         return HomeStamp(node=node, incarnation=incarnation)
 
     @property
     def entry_count(self) -> int:
-        """Return how many calls the table holds."""
+        """Return the number of calls in the table."""
         return len(self._state.entry_by_key)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Return what the node must do about an event, in order."""
+        """Apply an event; return the actions to carry out, in order."""
         return decide(event, self._state, now)
--- a/src/lovageshunt/idempotency/_running.py
+++ b/src/lovageshunt/idempotency/_running.py
@@ -1,4 +1,4 @@
-"""What is done with a call on its way to the target and after it."""
+"""Handling of a call from admission until its result."""
 
 from lovageshunt.calls import Outcome, RefusalReason
 from lovageshunt.idempotency._actions import (
@@ -36,11 +36,11 @@
         return []
     retry_after_ms = state.settings.refusal_retry_ms
     if entry.epoch != state.epoch:
-        stale = RefusalReason.STALE_PICTURE
-        return refuse_all(state, entry, stale, retry_after_ms)
-    if entry.by_call_id[event.call_id].deadline <= now:
-        late = RefusalReason.DEADLINE
-        return refuse_all(state, entry, late, retry_after_ms)
+        reason = RefusalReason.STALE_PICTURE
+        return refuse_all(state, entry, reason, retry_after_ms)
+    if entry.waiting_by_call_id[event.call_id].deadline <= now:
+        reason = RefusalReason.DEADLINE
+        return refuse_all(state, entry, reason, retry_after_ms)
     if not entry.life.step('dispatch'):
         return []
     return [Dispatch(call_id=event.call_id, key=entry.key)]
@@ -53,13 +53,14 @@
         return []
     if entry.state == 'queued' and entry.runner == event.call_id:
         return refuse_all(state, entry, event.reason, event.retry_after_ms)
-    arrival = entry.by_call_id[event.call_id]
+    attempt = entry.waiting_by_call_id[event.call_id]
     if entry.runner == event.call_id:
         return []
-    state.leave(entry, event.call_id)
+    state.remove_waiter(entry, event.call_id)
     return refuse_one(
-        arrival,
-        is_proved=arrival.attempt == FIRST_ATTEMPT and entry.runner is None,
+        attempt,
+        is_proved_not_run=attempt.number == FIRST_ATTEMPT
+        and entry.runner is None,
         reason=event.reason,
         retry_after_ms=event.retry_after_ms,
     )
@@ -84,10 +85,10 @@
         )
     runner = entry.runner
     entry.life.step('end')
-    state.keep(entry, ending)
+    state.store_ending(entry, ending)
     return [
         Replay(call_id=waiter.call_id, ending=ending)
-        for waiter in state.release(entry)
+        for waiter in state.release_waiters(entry)
         if waiter.call_id != runner
     ]
 
@@ -101,10 +102,10 @@
     entry = state.entry_by_call_id.get(event.call_id)
     if entry is None:
         return []
-    state.leave(entry, event.call_id)
+    state.remove_waiter(entry, event.call_id)
     if entry.state != 'queued' or entry.runner != event.call_id:
         return []
-    entry.runner = next(iter(entry.by_call_id), None)
+    entry.runner = next(iter(entry.waiting_by_call_id), None)
     if entry.runner is None:
         settle_refused(state, entry)
         return []
--- a/src/lovageshunt/idempotency/_settings.py
+++ b/src/lovageshunt/idempotency/_settings.py
@@ -1,19 +1,26 @@
-"""Bounds of the decision to run a call at most once."""
+"""Time and size limits of at-most-once execution."""
 
 from lovageshunt._record import Record
 
 
 class RunOnceSettings(Record):
-    """Times and sizes.
+    """Limits of one node's table, per service.
 
-    ``retention_seconds`` is how old a request may grow and still be resent.
-    ``transit_seconds`` bounds how long a message may be on its way to a
-    process that is not suspended; a stated age may be short by as much.
-    ``settle_seconds`` is the least time before a node takes first attempts.
-    ``caution_seconds`` is how long after a suspension a first attempt
-    is inquired about. ``unstated_age_ms`` stands for an age not stated.
-    ``max_answer_bytes`` bounds the body of one kept answer and
-    ``max_table_bytes`` that of all together.
+    - ``retention_seconds``: maximum age at which a request may be resent.
+    - ``transit_seconds``: maximum time in transit to a process that is not
+      suspended; a stated age may be too low by as much.
+    - ``settle_seconds``: minimum time after the start before a node accepts
+      first attempts.
+    - ``inquiry_seconds``: timeout of an inquiry to the peers.
+    - ``caution_seconds``: time after a suspension during which a first
+      attempt needs an inquiry.
+    - ``unstated_age_ms``: age assumed for a request that states none.
+    - ``doubt_retry_ms``: retry delay sent with *unknown* when a call is in
+      doubt, and when the table is full.
+    - ``refusal_retry_ms``: retry delay sent with other refusals.
+    - ``max_entries``: maximum number of calls in the table.
+    - ``max_answer_bytes``: maximum body size of one stored answer.
+    - ``max_table_bytes``: maximum total body size of all stored answers.
     """
 
     __slots__ = (
@@ -45,7 +52,6 @@
         max_answer_bytes: int = 4096,
         max_table_bytes: int = 4_194_304,
     ) -> None:
-        """Take every bound by name."""
         self.retention_seconds = retention_seconds
         self.transit_seconds = transit_seconds
         self.settle_seconds = settle_seconds
--- a/src/lovageshunt/idempotency/_state.py
+++ b/src/lovageshunt/idempotency/_state.py
@@ -1,9 +1,9 @@
-"""What one node remembers of the calls that must run at most once."""
+"""The table of one node for calls that must run at most once."""
 
 from collections.abc import Iterable
 
 from lovageshunt.calls import Outcome, RefusalReason
-from lovageshunt.idempotency._entry import Arrival, Entry
+from lovageshunt.idempotency._entry import Attempt, Entry
 from lovageshunt.idempotency._records import (
     DepartedNode,
     Ending,
@@ -13,21 +13,29 @@
 from lovageshunt.idempotency._settings import RunOnceSettings
 
 MS_PER_SECOND = 1000
-_NOT_KEPT = Ending(
+_ANSWER_NOT_STORED = Ending(
     outcome=Outcome.FAILED,
     reason=RefusalReason.CONNECTION_LOST,
 )
 
 
 class NodeState:
-    """A bounded table of entries and the node's own circumstances.
-
-    No entry is dropped before its time; a full table takes no new call.
-    Entries expire in the order in which they were made.
+    """A bounded table of entries and the state of the node itself.
+
+    No entry is evicted before it expires; a full table accepts no new call.
+    Entries expire in the order of their creation. Times are in seconds of
+    the node's clock.
+
+    - ``settled_at``: when every peer had confirmed this node, if they did.
+    - ``epoch``: incremented when queued calls must no longer be dispatched.
+    - ``cautious_until``: until then first attempts need an inquiry.
+    - ``expiry_by_leaver``: peers that handed over their entries, with the
+      time at which this is forgotten.
+    - ``inquiring``: the entries with an open inquiry, by key.
     """
 
     __slots__ = (
-        'me',
+        'identity',
         'started_at',
         'settled_at',
         'settings',
@@ -38,19 +46,18 @@
         'inquiring',
         'entry_by_key',
         'entry_by_call_id',
-        '_last_number',
+        '_last_inquiry_number',
         '_answer_bytes',
     )
 
     def __init__(
         self,
         *,
-        me: Identity,
+        identity: Identity,
         started_at: float,
         settings: RunOnceSettings,
     ) -> None:
-        """Begin with an empty table."""
-        self.me = me
+        self.identity = identity
         self.started_at = started_at
         self.settled_at: float | None = None
         self.settings = settings
@@ -61,55 +68,57 @@
         self.inquiring: dict[str, Entry] = {}
         self.entry_by_key: dict[str, Entry] = {}
         self.entry_by_call_id: dict[str, Entry] = {}
-        self._last_number = 0
+        self._last_inquiry_number = 0
         self._answer_bytes = 0
 
     def find(self, key: str, now: float) -> Entry | None:
-        """Return the entry of a call, unless it expired."""
+        """Drop expired entries; return the entry of a call, if any."""
         self.expire(now)
         return self.entry_by_key.get(key)
 
-    def create(self, key: str, *, born_at: float, now: float) -> Entry | None:
+    def create(self, key: str, *, began_at: float, now: float) -> Entry | None:
         """Return a new entry, or ``None`` when the table is full."""
         if len(self.entry_by_key) >= self.settings.max_entries:
             return None
         entry = Entry(
             key=key,
-            born_at=born_at,
+            began_at=began_at,
             expires_at=self.expiry_from(now),
         )
         self.entry_by_key[key] = entry
         return entry
 
-    def keep(self, entry: Entry, ending: Ending) -> None:
-        """Keep how a call ended, with its answer if there is room.
+    def store_ending(self, entry: Entry, ending: Ending) -> None:
+        """Store the result of a call, with its answer if the limits allow.
 
-        An answer that is not kept is *failed* for later attempts: the call
-        ran, and no whole answer will come.
+        Without a stored answer later attempts get *failed*: the call ran, but
+        no complete answer is available.
         """
-        size = _size_of(ending)
+        size = _body_bytes(ending)
         settings = self.settings
-        has_room = self._answer_bytes + size <= settings.max_table_bytes
-        is_cut = ending.outcome is Outcome.ANSWERED and ending.answer is None
-        if is_cut or size > settings.max_answer_bytes or not has_room:
-            ending = _NOT_KEPT
-        self._answer_bytes += _size_of(ending)
+        fits_table = self._answer_bytes + size <= settings.max_table_bytes
+        lacks_answer = (
+            ending.outcome is Outcome.ANSWERED and ending.answer is None
+        )
+        if lacks_answer or size > settings.max_answer_bytes or not fits_table:
+            ending = _ANSWER_NOT_STORED
+        self._answer_bytes += _body_bytes(ending)
         entry.ending = ending
 
     def expiry_from(self, now: float) -> float:
-        """Return until when something learned now is kept."""
+        """Return the expiry time of information received now."""
         settings = self.settings
         return now + settings.retention_seconds + settings.transit_seconds
 
     def drop(self, entry: Entry) -> None:
-        """Forget an entry that binds nobody."""
+        """Remove an entry that is no longer needed; release its waiters."""
         if self.entry_by_key.pop(entry.key, None) is not None:
-            self._answer_bytes -= _size_of(entry.ending)
+            self._answer_bytes -= _body_bytes(entry.ending)
         self.inquiring.pop(entry.key, None)
-        self.release(entry)
+        self.release_waiters(entry)
 
     def expire(self, now: float) -> None:
-        """Forget the entries whose time is over."""
+        """Remove expired entries and expired hand-over records."""
         while self.entry_by_key:
             oldest = next(iter(self.entry_by_key.values()))
             if now < oldest.expires_at:
@@ -119,59 +128,58 @@
             if expiry <= now:
                 self.expiry_by_leaver.pop(leaver)
 
-    def join(self, entry: Entry, arrival: Arrival) -> None:
-        """Let an attempt wait at an entry."""
-        entry.by_call_id[arrival.call_id] = arrival
-        self.entry_by_call_id[arrival.call_id] = entry
+    def add_waiter(self, entry: Entry, attempt: Attempt) -> None:
+        """Make an attempt wait for the result of an entry."""
+        entry.waiting_by_call_id[attempt.call_id] = attempt
+        self.entry_by_call_id[attempt.call_id] = entry
 
-    def leave(self, entry: Entry, call_id: str) -> None:
-        """Let an attempt wait no longer."""
-        entry.by_call_id.pop(call_id, None)
+    def remove_waiter(self, entry: Entry, call_id: str) -> None:
+        entry.waiting_by_call_id.pop(call_id, None)
         self.entry_by_call_id.pop(call_id, None)
 
-    def release(self, entry: Entry) -> list[Arrival]:
-        """Return the attempts that waited, who wait no longer."""
-        arrivals = list(entry.by_call_id.values())
-        for arrival in arrivals:
-            self.entry_by_call_id.pop(arrival.call_id, None)
-        entry.by_call_id = {}
+    def release_waiters(self, entry: Entry) -> list[Attempt]:
+        """Remove all waiting attempts of an entry and return them."""
+        attempts = list(entry.waiting_by_call_id.values())
+        for attempt in attempts:
+            self.entry_by_call_id.pop(attempt.call_id, None)
+        entry.waiting_by_call_id = {}
         entry.runner = None
-        return arrivals
+        return attempts
 
-    def next_number(self) -> int:
-        """Return the number of a new inquiry."""
-        self._last_number += 1
-        return self._last_number
+    def next_inquiry_number(self) -> int:
+        self._last_inquiry_number += 1
+        return self._last_inquiry_number
 
-    def born_at(self, age_ms: int | None, now: float) -> float:
-        """Return the earliest time at which a root request began.
+    def earliest_start(self, age_ms: int | None, now: float) -> float:
+        """Return the earliest time at which a root request may have begun.
 
-        Its age was stated when the message left, so its way is added.
+        The age was stated when the message was sent, so the maximum transit
+        time is added.
         """
         if age_ms is None:
             age_ms = self.settings.unstated_age_ms
         return now - age_ms / MS_PER_SECOND - self.settings.transit_seconds
 
-    def is_settled_for(self, born_at: float) -> bool:
-        """Return whether all peers knew this node before the call began."""
-        return self.settled_at is not None and self.settled_at <= born_at
+    def is_settled_for(self, began_at: float) -> bool:
+        """Return whether all peers listed this node before the call began."""
+        return self.settled_at is not None and self.settled_at <= began_at
 
-    def excused(
+    def ruled_out(
         self,
         gone: Iterable[DepartedNode],
         *,
-        born_at: float,
+        began_at: float,
         now: float,
     ) -> set[Identity]:
         """Return the departed nodes that cannot have run a call."""
         homes = {identity_of(departed.home) for departed in gone}
-        return homes - self.suspects(gone, born_at=born_at, now=now)
+        return homes - self.possible_runners(gone, began_at=began_at, now=now)
 
-    def suspects(
+    def possible_runners(
         self,
         gone: Iterable[DepartedNode],
         *,
-        born_at: float,
+        began_at: float,
         now: float,
     ) -> set[Identity]:
         """Return the departed nodes that may have run a call."""
@@ -179,11 +187,11 @@
             identity_of(departed.home)
             for departed in gone
             if not departed.is_proved_dead
-            or born_at <= now - departed.seconds_ago
+            or began_at <= now - departed.seconds_ago
         }
 
 
-def _size_of(ending: Ending | None) -> int:
+def _body_bytes(ending: Ending | None) -> int:
     if ending is None or ending.answer is None:
         return 0
     return len(ending.answer.body)
