--- a/src/lovageshunt/idempotency/_inquiring.py
+++ b/src/lovageshunt/idempotency/_inquiring.py
@@ -94,7 +94,7 @@
         return [_reply(event, _claim_only(state, Claim.CANNOT_SAY))]
     asker = identity_of(event.asker)
     if _is_held_here(state, entry, asker):
-        return [_reply(event, _claim_only(state, Claim.MINE))]
+        return [_reply(event, _claim_only(state, Claim.HELD_HERE))]
     earlier_home = _earlier_promise(entry, asker)
     redirects = []
     if entry.state != 'elsewhere':
@@ -128,7 +128,7 @@
         return []
     answer = event.answer
     peer = identity_of(answer.answerer)
-    if answer.claim is Claim.MINE:
+    if answer.claim is Claim.HELD_HERE:
         return yield_to(state, entry, peer)
     if answer.answerer != event.peer:
         inquiry.add_failed([identity_of(event.peer)])
--- a/src/lovageshunt/idempotency/_records.py
+++ b/src/lovageshunt/idempotency/_records.py
@@ -92,12 +92,12 @@
     """The status of a call at the node that answers an inquiry.
 
     - ``WILL_NOT_RUN``: it did not run the call and promises not to.
-    - ``MINE``: it ran, runs or may yet run the call.
+    - ``HELD_HERE``: it ran, runs or may yet run the call.
     - ``CANNOT_SAY``: its table is full, so it cannot store a promise.
     """
 
     WILL_NOT_RUN = 'will_not_run'
-    MINE = 'mine'
+    HELD_HERE = 'mine'
     CANNOT_SAY = 'cannot_say'
 
 
--- a/tests/idempotency/test_arriving.py
+++ b/tests/idempotency/test_arriving.py
@@ -147,7 +147,7 @@
     def test_it_goes_to_the_node_that_has_it(self, node):
         """The attempt is sent there without a stamp."""
         node.handle(requested('x', 2), NOW)
-        actions = promise(node, HIGHER, claim=Claim.MINE)
+        actions = promise(node, HIGHER, claim=Claim.HELD_HERE)
 
         assert actions == [
             Redirect(call_id='x', home=HIGHER, stamp=None, attempt=2),
--- a/tests/idempotency/test_inquiring.py
+++ b/tests/idempotency/test_inquiring.py
@@ -34,7 +34,7 @@
 
         answer, _ = inquired(node, LOWER)
 
-        assert answer.claim is Claim.MINE
+        assert answer.claim is Claim.HELD_HERE
 
     @pytest.mark.parametrize(
         ('started_at', 'is_witness'),
@@ -64,7 +64,7 @@
         held, _ = inquired(node, HIGHER)
         yielded, moved = inquired(node, LOWER)
 
-        assert held.claim is Claim.MINE
+        assert held.claim is Claim.HELD_HERE
         assert yielded.claim is Claim.WILL_NOT_RUN
         assert moved == [
             Redirect(call_id='x', home=LOWER, stamp=None, attempt=2),
--- a/tests/node/control/test_inquiry_codec.py
+++ b/tests/node/control/test_inquiry_codec.py
@@ -40,7 +40,7 @@
     def test_answer_round_trip(self):
         """Every field of an answer arrives."""
         answer = InquiryAnswer(
-            claim=Claim.MINE,
+            claim=Claim.HELD_HERE,
             answerer=_N2,
             home=_N1,
             refused_through=3,
