--- a/src/lovageshunt/idempotency/_entry.py
+++ b/src/lovageshunt/idempotency/_entry.py
@@ -100,7 +100,7 @@
     def record_answer(self, peer: Identity, answer: InquiryAnswer) -> None:
         """Record whether a node gave its promise, and what else it reported."""
         self.pending.discard(peer)
-        if answer.claim is Claim.CANNOT_SAY:
+        if answer.claim is Claim.CANNOT_PROMISE:
             self._by_claim['failed'].add(peer)
         if answer.is_witness:
             self.is_witnessed = True
--- a/src/lovageshunt/idempotency/_inquiring.py
+++ b/src/lovageshunt/idempotency/_inquiring.py
@@ -91,7 +91,7 @@
     if entry is None:
         entry = state.create(event.key, began_at=began_at, now=now)
     if entry is None:
-        return [_reply(event, _claim_only(state, Claim.CANNOT_SAY))]
+        return [_reply(event, _claim_only(state, Claim.CANNOT_PROMISE))]
     asker = identity_of(event.asker)
     if _is_held_here(state, entry, asker):
         return [_reply(event, _claim_only(state, Claim.HELD_HERE))]
--- a/src/lovageshunt/idempotency/_records.py
+++ b/src/lovageshunt/idempotency/_records.py
@@ -93,12 +93,12 @@
 
     - ``WILL_NOT_RUN``: it did not run the call and promises not to.
     - ``HELD_HERE``: it ran, runs or may yet run the call.
-    - ``CANNOT_SAY``: its table is full, so it cannot store a promise.
+    - ``CANNOT_PROMISE``: its table is full, so it cannot store a promise.
     """
 
     WILL_NOT_RUN = 'will_not_run'
     HELD_HERE = 'mine'
-    CANNOT_SAY = 'cannot_say'
+    CANNOT_PROMISE = 'cannot_say'
 
 
 class InquiryAnswer(Record):
--- a/tests/idempotency/test_arriving.py
+++ b/tests/idempotency/test_arriving.py
@@ -169,7 +169,7 @@
         node.handle(requested('x', 2), NOW)
         promise(node, LOWER)
 
-        answer = only(promise(node, HIGHER, claim=Claim.CANNOT_SAY))
+        answer = only(promise(node, HIGHER, claim=Claim.CANNOT_PROMISE))
 
         assert isinstance(answer, AnswerUnknown)
 
--- a/tests/idempotency/test_inquiring.py
+++ b/tests/idempotency/test_inquiring.py
@@ -55,7 +55,7 @@
 
         answer, _ = inquired(node, HIGHER)
 
-        assert answer.claim is Claim.CANNOT_SAY
+        assert answer.claim is Claim.CANNOT_PROMISE
 
     def test_lower_rank_wins_between_two_inquiries(self, node):
         """A node yields to a lower asker and holds against a higher."""
