--- a/tests/idempotency/conftest.py
+++ b/tests/idempotency/conftest.py
@@ -1,4 +1,4 @@
-"""The node under test."""
+"""Fixtures of the at-most-once tests."""
 
 import pytest
 
@@ -7,5 +7,5 @@
 
 @pytest.fixture
 def node():
-    """Return a node that settled long ago."""
+    """Return a node that settled long before ``NOW``."""
     return make_node()
--- a/tests/idempotency/nodes.py
+++ b/tests/idempotency/nodes.py
@@ -1,4 +1,4 @@
-"""A node with two peers, and what may happen to it."""
+"""A node with two peers, and functions that send it events."""
 
 from lovageshunt.calls import HomeStamp, Outcome, RefusalReason
 from lovageshunt.idempotency import (
@@ -28,7 +28,7 @@
 
 
 def requested(call_id, attempt, *, key='k', peers=PEERS, **fields):
-    """Return an attempt that arrives."""
+    """Return the event of an arriving attempt."""
     return AttemptReceived(
         call_id=call_id,
         key=key,
@@ -40,7 +40,7 @@
 
 
 def make_node(started_at=0, **settings):
-    """Return the node under test; it settled when it was old enough."""
+    """Return a node that settles ``settle_seconds`` after its start."""
     node = RunOnce(
         node=ME.node,
         incarnation=ME.incarnation,
@@ -53,7 +53,7 @@
 
 
 def promise(node, peer, *, claim=Claim.WILL_NOT_RUN, by=None, **fields):
-    """Give the node the answer to its first inquiry, a promise or other."""
+    """Answer the first inquiry of the node, by default with a promise."""
     answer = InquiryAnswer(claim=claim, answerer=by or peer, **fields)
     return node.handle(
         InquiryAnswered(key='k', peer=peer, number=1, answer=answer),
@@ -62,19 +62,19 @@
 
 
 def inquired(node, asker, age_ms=100):
-    """Ask the node; return its answer and what else it does."""
+    """Send an inquiry; return the answer and the node's other actions."""
     event = InquiryReceived(key='k', asker=asker, age_ms=age_ms, number=7)
     actions = node.handle(event, NOW)
     return actions[0].answer, actions[1:]
 
 
 def dispatch(node, call_id):
-    """Tell the node that admission let a call through."""
+    """Report to the node that admission accepted a call."""
     return node.handle(DispatchDue(call_id=call_id), NOW)
 
 
 def refuse(node):
-    """Let admission refuse the attempt ``x``."""
+    """Report to the node that admission refused the attempt ``x``."""
     refused = Refused(
         call_id='x',
         reason=RefusalReason.OVERLOAD,
--- a/tests/idempotency/test_arriving.py
+++ b/tests/idempotency/test_arriving.py
@@ -1,4 +1,4 @@
-"""What is done with an attempt when it arrives."""
+"""Handling of attempts when they arrive."""
 
 from lovageshunt.calls import HomeStamp, RefusalReason
 from lovageshunt.idempotency import (
@@ -35,16 +35,16 @@
 
 
 class TestFirstAttempt:
-    """A first attempt is never refused for doubt."""
+    """A first attempt is never refused as in doubt."""
 
     def test_it_runs_at_once(self, node):
-        """It passes to admission and is dispatched once."""
+        """It is passed to admission and dispatched once."""
         assert node.handle(requested('x', 1), NOW) == [Run(call_id='x')]
         assert dispatch(node, 'x') == [Dispatch(call_id='x', key='k')]
         assert dispatch(node, 'x') == []
 
     def test_second_attempt_waits_for_the_first(self, node):
-        """A resend that arrives meanwhile reads the first's outcome."""
+        """A resend that arrives meanwhile gets the first one's result."""
         node.handle(requested('x', 1), NOW)
         dispatch(node, 'x')
 
@@ -56,8 +56,8 @@
         assert ended == [Replay(call_id='y', ending=ANSWERED)]
         assert later == [Replay(call_id='z', ending=ANSWERED)]
 
-    def test_young_node_sends_it_elsewhere(self):
-        """A node that peers may not know yet refuses as not run."""
+    def test_unsettled_node_refuses_it(self):
+        """A node that peers may not list yet refuses it as not run."""
         node = make_node(started_at=NOW - 1)
 
         refusal = only(node.handle(requested('x', 1), NOW))
@@ -65,14 +65,14 @@
         assert isinstance(refusal, AnswerNotRun)
         assert refusal.reason is RefusalReason.SETTLING
 
-    def test_node_that_read_no_list_sends_it_elsewhere(self, node):
-        """Without a list there is nobody to ask, and no proof."""
+    def test_node_without_member_list_refuses_it(self, node):
+        """Without a list it is unknown which nodes to ask."""
         refusal = only(node.handle(requested('x', 1, peers=None), NOW))
 
         assert refusal.reason is RefusalReason.SETTLING
 
-    def test_only_node_runs_it_though_young(self):
-        """There is nobody else to ask or to be asked by."""
+    def test_only_node_runs_it_before_it_settled(self):
+        """There are no peers to ask or to be asked by."""
         node = make_node(started_at=NOW - 1)
 
         assert node.handle(requested('x', 1, peers=()), NOW) == [
@@ -80,7 +80,7 @@
         ]
 
     def test_stamp_of_an_earlier_incarnation_is_not_run(self, node):
-        """The one message is here, so its dead home did not run it."""
+        """The single message arrived here, so its old home did not run it."""
         stamp = HomeStamp(node='b', incarnation='0')
 
         refusal = only(node.handle(requested('x', 1, stamp=stamp), NOW))
@@ -88,7 +88,7 @@
         assert isinstance(refusal, AnswerNotRun)
 
     def test_full_table_refuses_it(self):
-        """No entry is evicted for a new call."""
+        """No entry is evicted to store a new call."""
         node = make_node(max_entries=1)
         node.handle(requested('x', 1), NOW)
 
@@ -99,7 +99,7 @@
         assert node.entry_count == 1
 
     def test_late_dispatch_is_not_run(self, node):
-        """A deadline that passed in the queue ends the call."""
+        """A call whose deadline passed in the queue is not dispatched."""
         node.handle(requested('x', 1), NOW)
 
         refusal = only(node.handle(DispatchDue(call_id='x'), NOW + 6))
@@ -107,7 +107,7 @@
         assert isinstance(refusal, AnswerNotRun)
 
     def test_dispatch_after_a_pause_is_not_run(self, node):
-        """What was queued before a suspension never runs after it."""
+        """A call queued before a suspension never runs after it."""
         node.handle(requested('x', 1), NOW)
         node.handle(Resumed(gap_seconds=1), NOW)
 
@@ -116,7 +116,7 @@
         assert refusal.reason is RefusalReason.STALE_PICTURE
 
     def test_arrival_after_a_pause_is_inquired_about(self, node):
-        """It may have lain in a buffer while a resend ran elsewhere."""
+        """It may have waited in a buffer while a resend ran elsewhere."""
         node.handle(Resumed(gap_seconds=1), NOW)
 
         wait, *asked = node.handle(requested('x', 1), NOW)
@@ -124,8 +124,8 @@
         assert wait == Wait(call_id='x')
         assert [each.peer for each in asked] == [LOWER, HIGHER]
 
-    def test_cancelled_one_leaves_the_right_to_a_waiter(self, node):
-        """The next attempt that waits runs in its place."""
+    def test_waiter_runs_in_place_of_a_cancelled_one(self, node):
+        """The oldest waiting attempt is passed to admission."""
         node.handle(requested('x', 1), NOW)
         node.handle(requested('y', 2), NOW)
 
@@ -135,17 +135,17 @@
 
 
 class TestResend:
-    """A resend without a stamp is inquired about."""
+    """A resend without a stamp needs an inquiry."""
 
     def test_it_runs_when_every_node_promises(self, node):
-        """The last promise gives the right to run."""
+        """It is passed to admission with the last promise."""
         node.handle(requested('x', 2), NOW)
 
         assert promise(node, LOWER) == []
         assert promise(node, HIGHER) == [Run(call_id='x')]
 
-    def test_it_goes_to_the_node_that_has_it(self, node):
-        """The attempt is sent there without a stamp."""
+    def test_it_is_redirected_to_the_node_that_holds_it(self, node):
+        """The attempt is redirected without a stamp."""
         node.handle(requested('x', 2), NOW)
         actions = promise(node, HIGHER, claim=Claim.HELD_HERE)
 
@@ -154,7 +154,7 @@
         ]
 
     def test_it_is_unknown_when_one_cannot_be_asked(self, node):
-        """One silent node leaves the call in doubt."""
+        """One node that cannot be asked leaves the call in doubt."""
         node.handle(requested('x', 2), NOW)
         promise(node, LOWER)
         failed = InquiryFailed(key='k', peer=HIGHER, number=1)
@@ -165,7 +165,7 @@
         assert answer.reason is RefusalReason.IN_DOUBT
 
     def test_it_is_unknown_when_one_cannot_promise(self, node):
-        """A full node would run a late first attempt."""
+        """A node with a full table might run a late first attempt."""
         node.handle(requested('x', 2), NOW)
         promise(node, LOWER)
 
@@ -173,8 +173,8 @@
 
         assert isinstance(answer, AnswerUnknown)
 
-    def test_later_incarnation_has_no_word_for_the_one_asked(self, node):
-        """What answers at an address may not be what ran the call."""
+    def test_later_incarnation_cannot_promise_for_the_one_asked(self, node):
+        """The process that answers may not be the one that ran the call."""
         later = HomeStamp(node='c', incarnation='2')
         node.handle(requested('x', 2), NOW)
         promise(node, LOWER)
@@ -183,7 +183,7 @@
 
         assert isinstance(answer, AnswerUnknown)
 
-    def test_silence_ends_in_doubt(self, node):
+    def test_it_is_unknown_after_the_inquiry_timeout(self, node):
         """Nodes that did not answer in time count as failed."""
         node.handle(requested('x', 2), NOW)
 
@@ -192,7 +192,7 @@
         assert isinstance(answer, AnswerUnknown)
 
     def test_node_known_to_a_peer_only_is_asked_too(self, node):
-        """A list that lags is widened by the answers."""
+        """The answers add nodes that are missing from an outdated list."""
         newer = HomeStamp(node='d', incarnation='1')
         node.handle(requested('x', 2), NOW)
 
@@ -203,7 +203,7 @@
         assert promise(node, HIGHER) == []
 
     def test_departed_node_leaves_doubt(self, node):
-        """One that is unlisted but not proved dead may still run it."""
+        """One that is not listed but not proved dead may still run it."""
         gone = (DepartedNode(home=HIGHER, seconds_ago=60),)
         _, *asked = node.handle(
             requested('x', 2, peers=(LOWER,), gone=gone),
@@ -212,8 +212,8 @@
 
         assert [each.peer for each in asked] == [LOWER, HIGHER]
 
-    def test_dead_node_leaves_none_for_younger_calls(self, node):
-        """A call that began after a process ended is not its own."""
+    def test_dead_node_leaves_no_doubt_for_later_calls(self, node):
+        """A call that began after a process ended cannot have run there."""
         dead = DepartedNode(home=HIGHER, seconds_ago=60, is_proved_dead=True)
         node.handle(
             requested('x', 2, peers=(LOWER,), gone=(dead,)),
@@ -222,8 +222,8 @@
 
         assert promise(node, LOWER) == [Run(call_id='x')]
 
-    def test_later_incarnation_vouches_for_the_earlier(self, node):
-        """One that settled before the call proves the earlier had ended."""
+    def test_later_incarnation_proves_the_earlier_ended(self, node):
+        """It settled before the call, so the earlier one had ended by then."""
         earlier = HomeStamp(node='c', incarnation='0')
         node.handle(requested('x', 2, peers=(*PEERS, earlier)), NOW)
         node.handle(InquiryFailed(key='k', peer=earlier, number=1), NOW)
@@ -234,7 +234,7 @@
         assert actions == [Run(call_id='x')]
 
     def test_it_is_unknown_without_a_witness(self):
-        """No node that is older than the call knows whom to ask."""
+        """Only a node that settled before the call knows every node to ask."""
         node = make_node(started_at=NOW - 1)
         node.handle(requested('x', 2), NOW)
         promise(node, LOWER)
@@ -244,7 +244,7 @@
         assert isinstance(answer, AnswerUnknown)
 
     def test_one_witness_is_enough(self):
-        """It names the nodes that the younger ones do not know."""
+        """It reports the nodes that later ones do not know."""
         node = make_node(started_at=NOW - 1)
         node.handle(requested('x', 2), NOW)
         promise(node, LOWER, is_witness=True)
@@ -252,13 +252,13 @@
         assert promise(node, HIGHER) == [Run(call_id='x')]
 
     def test_stamped_one_runs_at_its_home(self, node):
-        """A stamp says that no other node may run it."""
+        """The stamp states that no other node may run it."""
         stamped = requested('x', 2, stamp=ME)
 
         assert node.handle(stamped, NOW) == [Run(call_id='x')]
 
     def test_stamp_of_another_listed_home_is_followed(self, node):
-        """It runs at its home or nowhere."""
+        """It may run only at its home."""
         stamped = requested('x', 2, stamp=HIGHER)
 
         assert node.handle(stamped, NOW) == [
@@ -266,7 +266,7 @@
         ]
 
     def test_stamp_of_a_lost_home_is_unknown(self, node):
-        """The home's own word is wanted, and it is gone."""
+        """Proof needs the home's own answer, and the home is gone."""
         lost = HomeStamp(node='d', incarnation='1')
         node.handle(requested('x', 2, stamp=lost), NOW)
         promise(node, LOWER)
@@ -281,8 +281,8 @@
 class TestDoubtful:
     """A call that was left in doubt here before."""
 
-    def test_next_resend_asks_anew(self, node):
-        """The node that was silent may answer now."""
+    def test_next_resend_starts_a_new_inquiry(self, node):
+        """The nodes that did not answer before may answer now."""
         node.handle(requested('x', 2), NOW)
         node.handle(Ticked(), NOW + 1)
 
@@ -291,7 +291,7 @@
         assert [each.peer for each in asked] == [LOWER, HIGHER]
 
     def test_old_resend_is_not_asked_about(self, node):
-        """Those who knew of it may have forgotten it by then."""
+        """The entries at other nodes may have expired by then."""
         node.handle(requested('x', 2, age_ms=800_000), NOW)
         node.handle(Ticked(), NOW + 1)
         later = requested('y', 3, age_ms=901_000)
--- a/tests/idempotency/test_fleet.py
+++ b/tests/idempotency/test_fleet.py
@@ -1,4 +1,4 @@
-"""Several nodes under faults: no call runs twice, or though *not run*."""
+"""Several nodes under faults: no call runs twice or after *not run*."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -11,7 +11,7 @@
 _NAMES = ('a', 'b', 'c', 'd')
 _INDEX = st.integers(0, 11)
 _ENDINGS = (Outcome.ANSWERED, Outcome.ANSWERED, Outcome.UNKNOWN, Outcome.FAILED)
-_FATES = ('admit', 'admit', 'refuse', 'cancel')
+_ADMISSION_METHODS = ('admit', 'admit', 'refuse', 'cancel')
 _WAITS_SECONDS = (0.1, 0.1, 1, 1, 6, 6, 20, 300, 950)
 _MAX_CALLERS = 3
 
@@ -21,15 +21,15 @@
 
 
 class RunOnceMachine(RuleBasedStateMachine):
-    """Callers, nodes and a network in which anything may come late."""
+    """Callers, nodes and a network that may delay or reorder any message."""
 
     def __init__(self):
-        """Start four nodes that know one another."""
+        """Start four settled nodes that list one another."""
         super().__init__()
         self.fleet = self.make_fleet()
         self.callers = []
-        self.fleet.on_answer = self._hear
-        self.fleet.on_unsent = self._miss
+        self.fleet.on_answer = self._on_answer
+        self.fleet.on_unsent = self._on_unsent
         for name in _NAMES:
             self.fleet.start(name, is_old=True)
         self.fleet.publish()
@@ -45,17 +45,17 @@
 
     @rule(kind=st.sampled_from(CallerKind), which=_INDEX, index=_INDEX)
     def send(self, kind, which, index):
-        """A person begins a purchase, or tries again through any node."""
+        """A caller begins a call or retries one, through any node."""
         if which >= len(self.callers) and len(self.callers) < _MAX_CALLERS:
             key = str(len(self.callers))
-            begun = Caller(key=key, kind=kind, born_at=self.fleet.now)
-            self.callers.append(begun)
+            new_caller = Caller(key=key, kind=kind, born_at=self.fleet.now)
+            self.callers.append(new_caller)
         caller = _pick(self.callers, which)
         caller.attempt(self.fleet, self.homes, lambda all_: _pick(all_, index))
 
     @rule(which=_INDEX, index=_INDEX, gives_up=st.booleans())
     def hop(self, which, index, gives_up):
-        """A stamping service sends again, or answers its caller."""
+        """A stamping service resends a call, or answers its caller."""
         if not self.callers:
             return
         caller = _pick(self.callers, which)
@@ -66,7 +66,7 @@
 
     @rule(indexes=st.lists(_INDEX, min_size=1, max_size=6))
     def deliver(self, indexes):
-        """Some messages arrive, in any order."""
+        """Some messages arrive in any order."""
         for index in indexes:
             if self.fleet.messages:
                 at = index % len(self.fleet.messages)
@@ -74,35 +74,35 @@
 
     @rule(lost=_INDEX)
     def deliver_most(self, lost):
-        """What is on its way arrives, but for one message."""
-        moving = self.fleet.messages
+        """All messages in transit arrive, except one that is lost."""
+        in_transit = self.fleet.messages
         self.fleet.messages = []
-        for at, message in enumerate(moving):
+        for at, message in enumerate(in_transit):
             if at != lost:
                 self.fleet.deliver(message)
 
-    @rule(index=_INDEX, fate=st.sampled_from(_FATES))
+    @rule(index=_INDEX, fate=st.sampled_from(_ADMISSION_METHODS))
     def decide(self, index, fate):
-        """Queued calls are let through, refused or cancelled."""
-        for machine in self._awake(index):
+        """Queued calls are admitted, refused or cancelled."""
+        for machine in self._active(index):
             for call_id in list(machine.queue):
                 getattr(self.fleet, fate)(machine, call_id)
 
     @rule(index=_INDEX)
     def leave(self, index):
-        """A node begins a planned stop, and may take long over it."""
+        """A node begins a planned stop, which may take long."""
         self.fleet.tell(self._machine(index), Leaving())
 
     @rule(index=_INDEX, outcome=st.sampled_from(_ENDINGS))
     def finish(self, index, outcome):
         """Running calls end."""
-        for machine in self._awake(index):
+        for machine in self._active(index):
             for call_id in list(machine.running):
                 self.fleet.finish(machine, call_id, outcome)
 
     @rule(index=_INDEX)
     def freeze_or_thaw(self, index):
-        """A node is suspended, or wakes."""
+        """A node is suspended or resumed."""
         machine = self._machine(index)
         if machine.frozen_at is None:
             self.fleet.freeze(machine)
@@ -111,7 +111,7 @@
 
     @rule(index=_INDEX, is_graceful=st.booleans(), is_renamed=st.booleans())
     def replace(self, index, is_graceful, is_renamed):
-        """A VM is lost or stopped, and another comes in its place."""
+        """A VM is lost or stopped, and another one replaces it."""
         machine = self._machine(index)
         if is_graceful and machine.frozen_at is None:
             self.fleet.drain(machine)
@@ -124,16 +124,16 @@
 
     @rule(index=_INDEX, hidden=_INDEX)
     def learn(self, index, hidden):
-        """Nodes read a list, that may miss one, and make themselves known."""
+        """Nodes read a list that may omit one, and confirm one another."""
         self.fleet.publish()
         del self.fleet.published[hidden : hidden + 1]
-        for machine in self._awake(index):
+        for machine in self._active(index):
             machine.read(self.fleet.published, self.fleet.now)
             self.fleet.settle(machine)
 
     @rule(sides=st.sampled_from((0, 0, 1, 3, 5, 8)))
     def cut(self, sides):
-        """The network splits or heals."""
+        """The network is partitioned, or a partition ends."""
         for bit, machine in enumerate(self.fleet.by_name.values()):
             machine.side = sides >> bit & 1
 
@@ -141,28 +141,31 @@
     def wait(self, seconds):
         """Time passes."""
         self.fleet.now += seconds
-        for machine in self._awake(len(_NAMES)):
+        for machine in self._active(len(_NAMES)):
             self.fleet.tell(machine, Ticked())
 
     @invariant()
-    def nobody_is_wronged(self):
-        """At most one execution a call, none where *not run* was told."""
+    def calls_run_at_most_once(self):
+        """Each call runs at most once, and never after *not run*."""
         for caller in self.callers:
             executions = self.fleet.executions[caller.key]
             assert not caller.is_wronged(executions)
 
-    def _hear(self, call_id, outcome):
+    def _on_answer(self, call_id, outcome):
         key = int(call_id.split('/')[0])
         self.callers[key].hear(call_id, outcome)
 
-    def _miss(self, call_id):
+    def _on_unsent(self, call_id):
         self.callers[int(call_id.split('/')[0])].unsent(call_id)
 
     def _machine(self, index):
         return _pick(list(self.fleet.by_name.values()), index)
 
-    def _awake(self, index):
-        """Return one node, or every node for a low index."""
+    def _active(self, index):
+        """Return the node at an index, or every node if there is none.
+
+        Suspended nodes are left out.
+        """
         machines = list(self.fleet.by_name.values())
         if index >= len(machines):
             return [each for each in machines if each.frozen_at is None]
--- a/tests/idempotency/test_inquiring.py
+++ b/tests/idempotency/test_inquiring.py
@@ -1,4 +1,4 @@
-"""Asking peers about a call, and answering them."""
+"""Answers to inquiries of peers."""
 
 import pytest
 
@@ -17,10 +17,10 @@
 
 
 class TestInquired:
-    """What a node answers an inquiry, and what it then holds to."""
+    """The answer to an inquiry, and what it binds the node to."""
 
     def test_promise_outlasts_the_inquiry(self, node):
-        """A late first attempt is sent to the asker and not run."""
+        """A late first attempt is redirected to the asker."""
         answer, _ = inquired(node, HIGHER)
 
         assert answer.claim is Claim.WILL_NOT_RUN
@@ -29,7 +29,7 @@
         ]
 
     def test_running_call_is_claimed(self, node):
-        """The asker learns where the call is."""
+        """The asker learns which node holds the call."""
         node.handle(requested('x', 1), NOW)
 
         answer, _ = inquired(node, LOWER)
@@ -41,7 +41,7 @@
         [(0, True), (NOW - 10, False)],
     )
     def test_settled_node_is_a_witness(self, started_at, is_witness):
-        """One that settled after the call began is none."""
+        """A node that settled after the call began is not."""
         node = make_node(started_at=started_at)
 
         answer, _ = inquired(node, HIGHER, age_ms=10_001)
@@ -50,7 +50,7 @@
         assert answer.is_witness is is_witness
 
     def test_full_table_cannot_promise(self):
-        """Without an entry a late first attempt would run."""
+        """Without a stored promise a late first attempt would run."""
         node = make_node(max_entries=0)
 
         answer, _ = inquired(node, HIGHER)
@@ -58,7 +58,7 @@
         assert answer.claim is Claim.CANNOT_PROMISE
 
     def test_lower_rank_wins_between_two_inquiries(self, node):
-        """A node yields to a lower asker and holds against a higher."""
+        """A node yields to an asker of lower rank, but not of higher rank."""
         node.handle(requested('x', 2), NOW)
 
         held, _ = inquired(node, HIGHER)
@@ -70,8 +70,8 @@
             Redirect(call_id='x', home=LOWER, stamp=None, attempt=2),
         ]
 
-    def test_earlier_promise_is_named(self, node):
-        """The next asker must hear the node that has the promise."""
+    def test_earlier_promise_is_reported(self, node):
+        """The next asker must also ask the node that has the promise."""
         inquired(node, HIGHER)
 
         answer, _ = inquired(node, LOWER)
--- a/tests/idempotency/test_leaving.py
+++ b/tests/idempotency/test_leaving.py
@@ -1,4 +1,4 @@
-"""What a leaving node tells its heirs."""
+"""Hand-over of entries from a leaving node to its peers."""
 
 from lovageshunt.calls import RefusalReason
 from lovageshunt.idempotency import (
@@ -30,10 +30,10 @@
 
 
 class TestLeaving:
-    """A planned stop hands over what the node knows."""
+    """A planned stop hands over the entries of the node."""
 
     def test_leaving_node_refuses_first_attempts(self, node):
-        """The caller moves at once."""
+        """The caller can retry at another node at once."""
         node.handle(Leaving(), NOW)
 
         refusal = only(node.handle(requested('x', 1), NOW))
@@ -41,14 +41,14 @@
         assert refusal.reason is RefusalReason.LEAVING
 
     def test_old_resend_is_unknown_at_a_leaving_node(self, node):
-        """It may have run here and been forgotten."""
+        """It may have run here and its entry may have expired."""
         node.handle(Leaving(), NOW)
         old = requested('x', 2, stamp=ME, age_ms=901_000)
 
         assert isinstance(only(node.handle(old, NOW)), AnswerUnknown)
 
-    def test_leaving_node_does_not_take_up_what_it_refused(self, node):
-        """Its heirs were told that the call did not run."""
+    def test_leaving_node_does_not_run_what_it_refused(self, node):
+        """It handed over that the call did not run."""
         node.handle(requested('x', 2, stamp=ME), NOW)
         refuse(node)
         node.handle(Drained(), NOW)
@@ -57,13 +57,13 @@
 
         assert isinstance(answer, AnswerUnknown)
 
-    def test_heir_answers_for_the_leaver(self, node):
-        """A resend reads the outcome that was handed over."""
+    def test_receiver_answers_for_the_leaver(self, node):
+        """A resend gets the result that was handed over."""
         node.handle(requested('x', 1), NOW)
         dispatch(node, 'x')
         node.handle(Completed(key='k', ending=ANSWERED), NOW)
         handed = only(node.handle(Drained(), NOW))
-        heir = RunOnce(
+        receiver = RunOnce(
             node='c',
             incarnation='1',
             service='payments',
@@ -71,14 +71,16 @@
             settings=RunOnceSettings(),
         )
 
-        heir.handle(HandOverReceived(leaver=ME, entries=handed.entries), NOW)
+        receiver.handle(
+            HandOverReceived(leaver=ME, entries=handed.entries), NOW
+        )
 
-        assert heir.handle(requested('y', 2), NOW) == [
+        assert receiver.handle(requested('y', 2), NOW) == [
             Replay(call_id='y', ending=ANSWERED),
         ]
 
-    def test_heir_covers_the_leaver(self, node):
-        """An inquiry succeeds though the leaver cannot be asked."""
+    def test_receiver_covers_the_leaver(self, node):
+        """An inquiry succeeds although the leaver cannot be asked."""
         node.handle(requested('x', 2), NOW)
         node.handle(InquiryFailed(key='k', peer=HIGHER, number=1), NOW)
 
@@ -86,8 +88,8 @@
 
         assert actions == [Run(call_id='x')]
 
-    def test_answer_names_the_covered(self, node):
-        """An heir tells askers whose keys it has."""
+    def test_answer_lists_the_covered(self, node):
+        """A node reports the peers that handed their entries to it."""
         node.handle(HandOverReceived(leaver=HIGHER, entries=()), NOW)
 
         answered = only(
--- a/tests/idempotency/test_numbering.py
+++ b/tests/idempotency/test_numbering.py
@@ -1,13 +1,13 @@
-"""The attempt number that a hop sends."""
+"""Attempt numbers that a hop sends."""
 
 from lovageshunt.idempotency import next_attempt_number
 
 
-class TestAttemptToSend:
-    """A hop never counts on by itself."""
+class TestNextAttemptNumber:
+    """A hop never increments the attempt number."""
 
     def test_keeps_the_number_after_not_run(self):
-        """What is proved not run leaves the next send a first one."""
+        """The next send may be a first attempt again."""
         assert next_attempt_number(1, is_proved_not_run=True) == 1
 
     def test_drops_the_number_in_doubt(self):
--- a/tests/idempotency/test_running.py
+++ b/tests/idempotency/test_running.py
@@ -1,4 +1,4 @@
-"""What is done with a call on its way to the target and after it."""
+"""Handling of a call from admission until its result."""
 
 import pytest
 
@@ -27,10 +27,10 @@
 
 
 class TestEnding:
-    """How a dispatched call ended stays so."""
+    """The result of a dispatched call is final."""
 
     def test_crash_is_never_rerun(self, node):
-        """A call whose target went down stays unknown."""
+        """A call whose target crashed stays unknown."""
         node.handle(requested('x', 1), NOW)
         dispatch(node, 'x')
         ending = Ending(
@@ -44,8 +44,8 @@
         ]
 
     @pytest.mark.parametrize('bound', ['max_answer_bytes', 'max_table_bytes'])
-    def test_large_answer_is_not_given_cut(self, bound):
-        """An answer too large to keep is failed for later attempts."""
+    def test_large_answer_is_not_replayed_truncated(self, bound):
+        """Later attempts get *failed* if the answer is too large to store."""
         node = make_node(**{bound: 1})
         node.handle(requested('x', 1), NOW)
         dispatch(node, 'x')
@@ -57,7 +57,7 @@
         assert replay.ending.answer is None
 
     def test_entry_expires_after_the_oldest_resend(self, node):
-        """A resend older than retention is unknown, not run anew."""
+        """A resend older than the retention time is unknown and not run."""
         node.handle(requested('x', 1), NOW)
         later = NOW + 931
 
@@ -68,20 +68,20 @@
 
 
 class TestRefused:
-    """A refusal as not run holds for earlier attempts that come late."""
+    """A refusal as not run also blocks earlier attempts that arrive late."""
 
     def test_stamped_resend_leaves_a_tombstone(self, node):
-        """The first attempt, arriving late, does not run."""
+        """The first attempt does not run when it arrives late."""
         node.handle(requested('x', 2, stamp=ME), NOW)
 
-        told = only(refuse(node))
+        refusal = only(refuse(node))
         late = only(node.handle(requested('y', 1, stamp=ME), NOW))
 
-        assert isinstance(told, AnswerNotRun)
+        assert isinstance(refusal, AnswerNotRun)
         assert isinstance(late, AnswerNotRun)
 
     def test_next_attempt_may_run(self, node):
-        """The caller that tries again after not run is served."""
+        """A caller that retries after not run is served."""
         node.handle(requested('x', 2, stamp=ME), NOW)
         refuse(node)
 
@@ -89,18 +89,18 @@
             Run(call_id='y'),
         ]
 
-    def test_attempt_without_a_number_is_never_told_not_run(self, node):
-        """Its earlier sends cannot be told from its later ones."""
+    def test_attempt_without_a_number_is_never_answered_not_run(self, node):
+        """Earlier and later sends of it cannot be distinguished."""
         node.handle(requested('x', 0), NOW)
         promise(node, LOWER)
         promise(node, HIGHER)
 
-        told = only(refuse(node))
+        refusal = only(refuse(node))
 
-        assert isinstance(told, AnswerUnknown)
+        assert isinstance(refusal, AnswerUnknown)
 
     def test_refused_first_attempt_leaves_no_entry(self, node):
-        """It is one message, so the refusal needs no memory."""
+        """It is a single message, so its refusal needs no tombstone."""
         node.handle(requested('x', 1), NOW)
         refuse(node)
 
--- a/tests/idempotency/test_safeguards.py
+++ b/tests/idempotency/test_safeguards.py
@@ -1,4 +1,4 @@
-"""Each safeguard is needed: without it one short scene wrongs a caller."""
+"""Each safeguard is needed: a short scenario shows the fault without it."""
 
 import pytest
 
@@ -23,15 +23,15 @@
     return InquiryAnswer(claim=Claim.WILL_NOT_RUN, answerer=answerer)
 
 
-_ROUNDS = 6
+_DELIVERY_ROUNDS = 6
 
 
-class _Naive(RunOnce):
-    """A node without one safeguard."""
+class _UnsafeNode(RunOnce):
+    """Base class of nodes that lack one safeguard."""
 
     @classmethod
     def make(cls, home: HomeStamp, started_at: float):
-        """Return a node of this kind."""
+        """Return a node of this class with the default settings."""
         return cls(
             node=home.node,
             incarnation=home.incarnation,
@@ -47,28 +47,28 @@
                 self._state.drop(entry)
 
 
-class _WithoutInquiry(_Naive):
+class _WithoutInquiry(_UnsafeNode):
     def handle(self, event, now):
         if isinstance(event, AttemptReceived):
             event.peers = ()
         return super().handle(event, now)
 
 
-class _WithoutPromise(_Naive):
+class _WithoutPromise(_UnsafeNode):
     def handle(self, event, now):
         actions = super().handle(event, now)
         self.forget('elsewhere')
         return actions
 
 
-class _WithoutTombstone(_Naive):
+class _WithoutTombstone(_UnsafeNode):
     def handle(self, event, now):
         actions = super().handle(event, now)
         self.forget('refused')
         return actions
 
 
-class _WithoutDoubt(_Naive):
+class _WithoutInquiryFailure(_UnsafeNode):
     def handle(self, event, now):
         if isinstance(event, InquiryFailed):
             event = InquiryAnswered(
@@ -78,35 +78,35 @@
         return super().handle(event, now)
 
 
-class _WithoutDeparted(_Naive):
+class _WithoutDeparted(_UnsafeNode):
     def handle(self, event, now):
         if isinstance(event, AttemptReceived | InquiryReceived):
             event.gone = ()
         return super().handle(event, now)
 
 
-class _WithoutIdentity(_Naive):
+class _WithoutIdentity(_UnsafeNode):
     def handle(self, event, now):
         if isinstance(event, InquiryAnswered):
             event.answer.answerer = event.peer
         return super().handle(event, now)
 
 
-class _WithoutWitness(_Naive):
+class _WithoutWitness(_UnsafeNode):
     def handle(self, event, now):
         if isinstance(event, InquiryAnswered):
             event.answer.is_witness = True
         return super().handle(event, now)
 
 
-class _WithoutSettling(_Naive):
+class _WithoutSettling(_UnsafeNode):
     def handle(self, event, now):
         super().handle(Settled(), 0)
         self._state.settled_at = 0
         return super().handle(event, now)
 
 
-class _WithoutRank(_Naive):
+class _WithoutRank(_UnsafeNode):
     def handle(self, event, now):
         if (
             isinstance(event, InquiryReceived)
@@ -122,12 +122,12 @@
         return super().handle(event, now)
 
 
-class _WithoutWaking(_Naive):
+class _WithoutResuming(_UnsafeNode):
     def handle(self, event, now):
         return [] if isinstance(event, Resumed) else super().handle(event, now)
 
 
-class _WithoutSettlingAnew(_Naive):
+class _WithoutSettlingAgain(_UnsafeNode):
     def handle(self, event, now):
         settled_at = self._state.settled_at
         actions = super().handle(event, now)
@@ -136,11 +136,11 @@
         return actions
 
 
-class _Scene:
-    """Three nodes and one caller."""
+class _Scenario:
+    """Three settled nodes and one caller."""
 
     def __init__(self, factory, kind=CallerKind.NUMBERED):
-        """Start the nodes a, b and c, which know one another."""
+        """Start the nodes a, b and c, which list one another."""
         self.fleet = Fleet(factory)
         for name in 'abc':
             self.fleet.start(name, is_old=True)
@@ -150,7 +150,7 @@
         self.fleet.on_answer = self.caller.hear
 
     def learn(self, hidden=''):
-        """Let every node read a list and make itself known."""
+        """Let every node read a list without ``hidden`` and be confirmed."""
         self.fleet.publish()
         machines = list(self.fleet.by_name.values())
         published = [
@@ -161,149 +161,149 @@
             self.fleet.settle(machine)
 
     def send(self, name):
-        """Send the next attempt to a node; return the message, not sent."""
+        """Return the message of the next attempt to a node, undelivered."""
         home = self.fleet.by_name[name].home
         self.caller.attempt(self.fleet, [home], lambda homes: homes[0])
         return self.fleet.messages.pop()
 
     def arrive(self, *messages, is_refused=False):
-        """Let messages arrive and everything that follows from them."""
+        """Deliver messages and all that follow from them; decide admission."""
         self.fleet.messages.extend(messages)
-        for _ in range(_ROUNDS):
-            moving = self.fleet.messages
+        for _ in range(_DELIVERY_ROUNDS):
+            in_transit = self.fleet.messages
             self.fleet.messages = []
-            for message in moving:
+            for message in in_transit:
                 self.fleet.deliver(message)
         for machine in list(self.fleet.by_name.values()):
             for call_id in list(machine.queue):
-                act = self.fleet.refuse if is_refused else self.fleet.admit
-                act(machine, call_id)
+                decide = self.fleet.refuse if is_refused else self.fleet.admit
+                decide(machine, call_id)
 
-    def is_wronged(self):
-        """Return whether the caller's call ran too often."""
+    def violates_at_most_once(self):
+        """Return whether the call ran twice, or ran after *not run*."""
         return self.caller.is_wronged(self.fleet.executions['0'])
 
 
 def _resend_elsewhere(factory):
-    scene = _Scene(factory)
-    scene.arrive(scene.send('a'))
-    scene.arrive(scene.send('b'))
-    return scene
+    scenario = _Scenario(factory)
+    scenario.arrive(scenario.send('a'))
+    scenario.arrive(scenario.send('b'))
+    return scenario
 
 
 def _late_first_attempt(factory):
-    scene = _Scene(factory)
-    first = scene.send('a')
-    scene.arrive(scene.send('b'))
-    scene.arrive(first)
-    return scene
+    scenario = _Scenario(factory)
+    first = scenario.send('a')
+    scenario.arrive(scenario.send('b'))
+    scenario.arrive(first)
+    return scenario
 
 
 def _refused_resend(factory):
-    scene = _Scene(factory, CallerKind.LIBRARY)
-    first = scene.send('a')
-    scene.arrive(scene.send('a'), is_refused=True)
-    scene.arrive(first)
-    return scene
+    scenario = _Scenario(factory, CallerKind.LIBRARY)
+    first = scenario.send('a')
+    scenario.arrive(scenario.send('a'), is_refused=True)
+    scenario.arrive(first)
+    return scenario
 
 
-def _resend_across_a_cut(factory):
-    scene = _Scene(factory)
-    scene.arrive(scene.send('a'))
-    scene.fleet.by_name['a'].side = 1
-    scene.arrive(scene.send('b'))
-    return scene
+def _resend_across_a_partition(factory):
+    scenario = _Scenario(factory)
+    scenario.arrive(scenario.send('a'))
+    scenario.fleet.by_name['a'].side = 1
+    scenario.arrive(scenario.send('b'))
+    return scenario
 
 
 def _resend_after_replacement(factory):
-    scene = _Scene(factory)
-    scene.arrive(scene.send('a'))
-    scene.fleet.kill(scene.fleet.by_name['a'])
-    scene.fleet.start('a')
-    scene.learn()
-    scene.arrive(scene.send('b'))
-    return scene
+    scenario = _Scenario(factory)
+    scenario.arrive(scenario.send('a'))
+    scenario.fleet.kill(scenario.fleet.by_name['a'])
+    scenario.fleet.start('a')
+    scenario.learn()
+    scenario.arrive(scenario.send('b'))
+    return scenario
 
 
 def _resend_after_all_were_replaced(factory):
-    scene = _Scene(factory)
-    scene.arrive(scene.send('a'))
-    scene.fleet.by_name.clear()
-    scene.fleet.published = []
-    scene.fleet.now += 1
+    scenario = _Scenario(factory)
+    scenario.arrive(scenario.send('a'))
+    scenario.fleet.by_name.clear()
+    scenario.fleet.published = []
+    scenario.fleet.now += 1
     for name in 'abc':
-        scene.fleet.start(name)
-    scene.learn()
-    scene.arrive(scene.send('b'))
-    return scene
+        scenario.fleet.start(name)
+    scenario.learn()
+    scenario.arrive(scenario.send('b'))
+    return scenario
 
 
 def _node_that_nobody_lists(factory):
-    scene = _Scene(factory)
-    scene.fleet.start('d')
-    scene.arrive(scene.send('d'))
-    scene.arrive(scene.send('b'))
-    return scene
+    scenario = _Scenario(factory)
+    scenario.fleet.start('d')
+    scenario.arrive(scenario.send('d'))
+    scenario.arrive(scenario.send('b'))
+    return scenario
 
 
 def _two_resends_at_once(factory):
-    scene = _Scene(factory, CallerKind.UNNUMBERED)
-    scene.arrive(scene.send('a'), scene.send('b'))
-    return scene
-
-
-def _wake_after_long(factory):
-    scene = _Scene(factory)
-    frozen = scene.fleet.by_name['a']
-    scene.fleet.freeze(frozen)
-    scene.learn(hidden='a')
-    scene.fleet.now += 1000
-    scene.caller.born_at = scene.fleet.now
-    scene.arrive(scene.send('a'))
-    scene.arrive(scene.send('b'))
-    scene.fleet.thaw(frozen)
-    scene.arrive()
-    return scene
-
-
-def _purchase_at_a_forgotten_node(factory):
-    scene = _Scene(factory)
-    frozen = scene.fleet.by_name['a']
-    scene.fleet.freeze(frozen)
-    scene.learn(hidden='a')
-    scene.fleet.now += 1000
-    scene.fleet.thaw(frozen)
-    scene.fleet.now += 60
-    scene.caller.born_at = scene.fleet.now
-    scene.arrive(scene.send('a'))
-    scene.arrive(scene.send('b'))
-    return scene
-
-
-_SCENES = (
+    scenario = _Scenario(factory, CallerKind.UNNUMBERED)
+    scenario.arrive(scenario.send('a'), scenario.send('b'))
+    return scenario
+
+
+def _resume_after_long_suspension(factory):
+    scenario = _Scenario(factory)
+    suspended = scenario.fleet.by_name['a']
+    scenario.fleet.freeze(suspended)
+    scenario.learn(hidden='a')
+    scenario.fleet.now += 1000
+    scenario.caller.born_at = scenario.fleet.now
+    scenario.arrive(scenario.send('a'))
+    scenario.arrive(scenario.send('b'))
+    scenario.fleet.thaw(suspended)
+    scenario.arrive()
+    return scenario
+
+
+def _call_at_a_forgotten_node(factory):
+    scenario = _Scenario(factory)
+    suspended = scenario.fleet.by_name['a']
+    scenario.fleet.freeze(suspended)
+    scenario.learn(hidden='a')
+    scenario.fleet.now += 1000
+    scenario.fleet.thaw(suspended)
+    scenario.fleet.now += 60
+    scenario.caller.born_at = scenario.fleet.now
+    scenario.arrive(scenario.send('a'))
+    scenario.arrive(scenario.send('b'))
+    return scenario
+
+
+_SCENARIOS = (
     (_WithoutInquiry, _resend_elsewhere),
     (_WithoutPromise, _late_first_attempt),
     (_WithoutTombstone, _refused_resend),
-    (_WithoutDoubt, _resend_across_a_cut),
+    (_WithoutInquiryFailure, _resend_across_a_partition),
     (_WithoutDeparted, _resend_after_replacement),
     (_WithoutIdentity, _resend_after_replacement),
     (_WithoutWitness, _resend_after_all_were_replaced),
     (_WithoutSettling, _node_that_nobody_lists),
     (_WithoutRank, _two_resends_at_once),
-    (_WithoutWaking, _wake_after_long),
-    (_WithoutSettlingAnew, _purchase_at_a_forgotten_node),
+    (_WithoutResuming, _resume_after_long_suspension),
+    (_WithoutSettlingAgain, _call_at_a_forgotten_node),
 )
 
 
 class TestSafeguards:
-    """What one safeguard is for."""
+    """The fault that each safeguard prevents."""
 
-    @pytest.mark.parametrize(('naive', 'play'), _SCENES)
-    def test_scene_wrongs_the_caller_without_it(self, naive, play):
-        """The call runs twice, or runs though *not run* was told."""
-        assert play(naive.make).is_wronged()
+    @pytest.mark.parametrize(('unsafe_node', 'run_scenario'), _SCENARIOS)
+    def test_fault_without_the_safeguard(self, unsafe_node, run_scenario):
+        """The call runs twice, or runs after *not run* was answered."""
+        assert run_scenario(unsafe_node.make).violates_at_most_once()
 
-    @pytest.mark.parametrize(('naive', 'play'), _SCENES)
-    def test_scene_wrongs_nobody_with_it(self, naive, play):
-        """The same scene is harmless at the real node."""
-        assert not play(make_node).is_wronged()
+    @pytest.mark.parametrize(('unsafe_node', 'run_scenario'), _SCENARIOS)
+    def test_no_fault_with_the_safeguard(self, unsafe_node, run_scenario):
+        """The same scenario has no fault with the real nodes."""
+        assert not run_scenario(make_node).violates_at_most_once()
