--- a/bench/run_once/_fleet.py
+++ b/bench/run_once/_fleet.py
@@ -9,14 +9,14 @@
     DispatchDue,
     Drained,
     Ending,
-    HandedOver,
     HandOver,
+    HandOverReceived,
     Leaving,
     Refused,
+    Resumed,
     Settled,
     StoredAnswer,
     WaiterCancelled,
-    Woke,
 )
 
 _OLD_SECONDS = 1000
@@ -80,7 +80,7 @@
         machine.frozen_at = None
         held = machine.held
         machine.held = []
-        self.tell(machine, Woke(gap_seconds=gap))
+        self.tell(machine, Resumed(gap_seconds=gap))
         for message in held:
             self.receive(machine, message)
 
@@ -140,6 +140,6 @@
         handed: HandOver,
         heirs: list[Machine],
     ) -> None:
-        event = HandedOver(leaver=leaver.home, entries=handed.entries)
+        event = HandOverReceived(leaver=leaver.home, entries=handed.entries)
         for heir in heirs:
             self.tell(heir, event)
--- a/src/lovageshunt/idempotency/__init__.py
+++ b/src/lovageshunt/idempotency/__init__.py
@@ -1,4 +1,4 @@
-"""At most one execution of a call that must never repeat."""
+"""At-most-once execution of calls that are not safe to repeat."""
 
 from lovageshunt.idempotency._actions import (
     Action,
@@ -14,29 +14,29 @@
     Wait,
 )
 from lovageshunt.idempotency._events import (
+    AttemptReceived,
     Completed,
     DispatchDue,
     Drained,
     Event,
-    HandedOver,
-    Inquired,
+    HandOverReceived,
     InquiryAnswered,
     InquiryFailed,
+    InquiryReceived,
     Leaving,
     RedirectFailed,
     Refused,
-    Requested,
+    Resumed,
     Settled,
     Ticked,
     WaiterCancelled,
-    Woke,
 )
-from lovageshunt.idempotency._numbering import attempt_to_send
+from lovageshunt.idempotency._numbering import next_attempt_number
 from lovageshunt.idempotency._records import (
     Claim,
-    Departed,
+    DepartedNode,
     Ending,
-    HandedEntry,
+    HandOverEntry,
     InquiryAnswer,
     StoredAnswer,
 )
@@ -50,17 +50,17 @@
     'AnswerUnknown',
     'Claim',
     'Completed',
-    'Departed',
+    'DepartedNode',
     'Dispatch',
     'DispatchDue',
     'Drained',
     'Ending',
     'Event',
     'HandOver',
-    'HandedEntry',
-    'HandedOver',
+    'HandOverEntry',
+    'HandOverReceived',
     'Inquire',
-    'Inquired',
+    'InquiryReceived',
     'InquiryAnswer',
     'InquiryAnswered',
     'InquiryFailed',
@@ -69,7 +69,7 @@
     'RedirectFailed',
     'Refused',
     'Replay',
-    'Requested',
+    'AttemptReceived',
     'Run',
     'RunOnce',
     'RunOnceSettings',
@@ -78,6 +78,6 @@
     'Ticked',
     'Wait',
     'WaiterCancelled',
-    'Woke',
-    'attempt_to_send',
+    'Resumed',
+    'next_attempt_number',
 ]
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -17,9 +17,9 @@
 from lovageshunt.clock import now
 from lovageshunt.idempotency import (
     Drained,
-    Inquired,
     InquiryAnswer,
-    Woke,
+    InquiryReceived,
+    Resumed,
 )
 from lovageshunt.membership import EpochClock, PauseEnded
 from lovageshunt.node.control._control import Control
@@ -122,7 +122,7 @@
         if self._epochs.observe(at):
             self._pauses.value += 1
             _log.warning('the process was paused for %.1f s', gap)
-            self._calls.handle(Woke(gap_seconds=gap))
+            self._calls.handle(Resumed(gap_seconds=gap))
             self._control.tell(PauseEnded())
             self._settler.restart()
 
@@ -146,7 +146,7 @@
         snapshot = decode_snapshot(raw)
         self._keeping.handle(SnapshotHeard(now=now(), snapshot=snapshot))
 
-    async def inquired(self, question: Inquired) -> InquiryAnswer:
+    async def inquired(self, question: InquiryReceived) -> InquiryAnswer:
         """Return the answer to a peer's question about a call."""
         peers = self._control.fleet.peers
         question.peers = peers.peers or ()
--- a/src/lovageshunt/node/control/_inquiry_codec.py
+++ b/src/lovageshunt/node/control/_inquiry_codec.py
@@ -10,11 +10,11 @@
 from lovageshunt.idempotency import (
     Claim,
     Ending,
-    HandedEntry,
-    HandedOver,
+    HandOverEntry,
+    HandOverReceived,
     Inquire,
-    Inquired,
     InquiryAnswer,
+    InquiryReceived,
     StoredAnswer,
 )
 
@@ -27,12 +27,12 @@
     return orjson.dumps(fields)
 
 
-def decode_inquiry(body: bytes) -> Inquired:
+def decode_inquiry(body: bytes) -> InquiryReceived:
     """Return the question; raises ``MalformedEnvelopeError``."""
     try:
         fields = orjson.loads(body)
         asker = HomeStamp(**fields.pop('asker'))
-        return Inquired(asker=asker, **fields)
+        return InquiryReceived(asker=asker, **fields)
     except (LookupError, TypeError, ValueError) as error:
         raise MalformedEnvelopeError(repr(error)) from error
 
@@ -69,7 +69,7 @@
 
 def encode_hand_over(
     leaver: HomeStamp,
-    entries: tuple[HandedEntry, ...],
+    entries: tuple[HandOverEntry, ...],
 ) -> bytes:
     """Return what a leaving node knows of calls as JSON."""
     return orjson.dumps(
@@ -87,14 +87,14 @@
     )
 
 
-def decode_hand_over(body: bytes) -> HandedOver:
+def decode_hand_over(body: bytes) -> HandOverReceived:
     """Return what was handed over; raises ``MalformedEnvelopeError``."""
     try:
         fields = orjson.loads(body)
-        return HandedOver(
+        return HandOverReceived(
             leaver=HomeStamp(**fields['leaver']),
             entries=tuple(
-                HandedEntry(
+                HandOverEntry(
                     key=str(entry['key']),
                     ending=_ending_of(entry['ending']),
                     refused_through=int(entry['refused_through']),
