--- a/src/lovageshunt/sidecar/_dialect.py
+++ b/src/lovageshunt/sidecar/_dialect.py
@@ -6,7 +6,7 @@
 from lovageshunt.admission import LoadReported
 
 
-class Dialect(Record):
+class HeaderNames(Record):
     """Names of header fields, in lower case.
 
     ``attempt_id`` is the id of one attempt of a client, echoed by answers.
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -36,7 +36,7 @@
     RefusalMeter,
 )
 from lovageshunt.retries import FleetRetryBudget
-from lovageshunt.sidecar._dialect import Dialect
+from lovageshunt.sidecar._dialect import HeaderNames
 from lovageshunt.sidecar._meters import Meters
 from lovageshunt.sidecar._reading import ReadAnswer, read_response
 from lovageshunt.sidecar._run import Ended, Run
@@ -66,7 +66,7 @@
         host: str,
         port: int,
         slots: int,
-        dialect: Dialect,
+        dialect: HeaderNames,
         meters: Meters,
         resends: FleetRetryBudget,
     ) -> None:
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -19,7 +19,7 @@
 from lovageshunt.routes import Configuration, Route, RouteTable, SplitCursor
 from lovageshunt.routing import Wanted
 from lovageshunt.sidecar._answering import Answering
-from lovageshunt.sidecar._dialect import Dialect
+from lovageshunt.sidecar._dialect import HeaderNames
 from lovageshunt.sidecar._executor import Executor
 from lovageshunt.sidecar._fleet import Fleet, TargetEntry
 from lovageshunt.sidecar._origin_call import Attempt, OriginCall
@@ -49,7 +49,7 @@
         *,
         own_host: str,
         own_service: str,
-        dialect: Dialect,
+        dialect: HeaderNames,
         executor: Executor,
         fleet: Fleet,
         budgets: FleetRetryBudgets,
--- a/src/lovageshunt/sidecar/_reading.py
+++ b/src/lovageshunt/sidecar/_reading.py
@@ -6,7 +6,7 @@
 from lovageshunt.admission import LoadReported
 from lovageshunt.calls import Outcome, RefusalReason
 from lovageshunt.http1 import ExchangeEnd, Response
-from lovageshunt.sidecar._dialect import Dialect
+from lovageshunt.sidecar._dialect import HeaderNames
 
 _MISDIRECTED: Final = 421
 _FIRST_SUCCESS: Final = 200
@@ -36,7 +36,7 @@
 def read_response(
     end: ExchangeEnd,
     response: Response | None,
-    dialect: Dialect,
+    dialect: HeaderNames,
 ) -> ReadAnswer:
     """Return what is certain of a request after its exchange."""
     if end is ExchangeEnd.UNSENT:
@@ -56,7 +56,7 @@
     return _read_whole(response, dialect)
 
 
-def _read_whole(response: Response, dialect: Dialect) -> ReadAnswer:
+def _read_whole(response: Response, dialect: HeaderNames) -> ReadAnswer:
     load = response.header(dialect.load)
     reported = dialect.read_load(load) if load else None
     if response.status == _MISDIRECTED:
@@ -78,7 +78,7 @@
     return ReadAnswer(outcome=Outcome.ANSWERED, reported=reported)
 
 
-def _fault_of(response: Response, dialect: Dialect) -> str:
+def _fault_of(response: Response, dialect: HeaderNames) -> str:
     """Return why a response cannot be passed on as the target's own."""
     if not response.header(dialect.attempt_id):
         return 'the answer names no attempt'
--- a/src/lovageshunt/sidecar/_run.py
+++ b/src/lovageshunt/sidecar/_run.py
@@ -7,7 +7,7 @@
 from lovageshunt.clock import now as clock_now
 from lovageshunt.http1 import Sending, encode_request
 from lovageshunt.links import RunAnswer, RunOrder
-from lovageshunt.sidecar._dialect import Dialect
+from lovageshunt.sidecar._dialect import HeaderNames
 
 _MS_PER_SECOND: Final = 1000
 
@@ -41,7 +41,7 @@
         self.resent = False
         self.is_repeat = order.is_repeat
 
-    def encoded(self, dialect: Dialect) -> bytes:
+    def encoded(self, dialect: HeaderNames) -> bytes:
         """Return the request as the target gets it now."""
         order = self.order
         left = max(1, round((order.deadline - clock_now()) * _MS_PER_SECOND))
--- a/src/lovageshunt/sidecar/_sidecar.py
+++ b/src/lovageshunt/sidecar/_sidecar.py
@@ -27,7 +27,7 @@
 from lovageshunt.routes import Configuration
 from lovageshunt.settings import Address, SidecarSettings
 from lovageshunt.sidecar._answering import Answering
-from lovageshunt.sidecar._dialect import Dialect
+from lovageshunt.sidecar._dialect import HeaderNames
 from lovageshunt.sidecar._executor import Executor
 from lovageshunt.sidecar._fleet import Fleet
 from lovageshunt.sidecar._knowledge import Knowledge
@@ -70,7 +70,7 @@
     def __init__(
         self,
         settings: SidecarSettings,
-        dialect: Dialect,
+        dialect: HeaderNames,
         suppressed: Callable[[], int],
     ) -> None:
         """Build the parts; nothing is opened yet.
--- a/tests/sidecar/world.py
+++ b/tests/sidecar/world.py
@@ -16,10 +16,10 @@
     SidecarTargetSection,
     StoreSection,
 )
-from lovageshunt.sidecar import Dialect, Sidecar, TargetEntry
+from lovageshunt.sidecar import HeaderNames, Sidecar, TargetEntry
 from tests.loopback import own_host
 
-DIALECT = Dialect(
+DIALECT = HeaderNames(
     attempt_id=b'x-attempt',
     time_left=b'x-left',
     target_id=b'x-target',
