--- a/src/lovageshunt/sidecar/__init__.py
+++ b/src/lovageshunt/sidecar/__init__.py
@@ -2,8 +2,8 @@
 
 from lovageshunt.sidecar._dialect import HeaderNames
 from lovageshunt.sidecar._fleet import TargetEntry
-from lovageshunt.sidecar._knowledge import Knowledge
+from lovageshunt.sidecar._knowledge import FleetState
 from lovageshunt.sidecar._sidecar import Sidecar
 from lovageshunt.sidecar._target_list import TargetList
 
-__all__ = ['HeaderNames', 'Knowledge', 'Sidecar', 'TargetEntry', 'TargetList']
+__all__ = ['HeaderNames', 'FleetState', 'Sidecar', 'TargetEntry', 'TargetList']
--- a/src/lovageshunt/sidecar/_knowledge.py
+++ b/src/lovageshunt/sidecar/_knowledge.py
@@ -15,7 +15,7 @@
 _ASK_SECONDS: Final = 0.5
 
 
-class Knowledge:
+class FleetState:
     """Takes what is newer, from the platform or from other nodes.
 
     ``greeting`` is what this node says of itself on its links; it tells how
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -17,7 +17,7 @@
     decode_needs,
 )
 from lovageshunt.sidecar._fleet import Fleet
-from lovageshunt.sidecar._knowledge import Knowledge
+from lovageshunt.sidecar._knowledge import FleetState
 from lovageshunt.sidecar._picture import decode_picture, encode_picture
 from lovageshunt.sidecar._pressure_reports import PressureReports
 
@@ -36,7 +36,7 @@
         self,
         *,
         fleet: Fleet,
-        knowledge: Knowledge,
+        knowledge: FleetState,
         reports: PressureReports,
     ) -> None:
         """Hand each frame to the part that it is for."""
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -25,7 +25,7 @@
 from lovageshunt.retries import FleetRetryBudgets
 from lovageshunt.sidecar._executor import Executor
 from lovageshunt.sidecar._fleet import Fleet
-from lovageshunt.sidecar._knowledge import Knowledge
+from lovageshunt.sidecar._knowledge import FleetState
 
 _log = getLogger(__name__)
 #: How often a load that has not changed is told all the same, in seconds.
@@ -73,7 +73,7 @@
         *,
         executor: Executor,
         fleet: Fleet,
-        knowledge: Knowledge,
+        knowledge: FleetState,
         budgets: FleetRetryBudgets,
         broadcast: Broadcast,
         rng: Random,
--- a/src/lovageshunt/sidecar/_sidecar.py
+++ b/src/lovageshunt/sidecar/_sidecar.py
@@ -30,7 +30,7 @@
 from lovageshunt.sidecar._dialect import HeaderNames
 from lovageshunt.sidecar._executor import Executor
 from lovageshunt.sidecar._fleet import Fleet
-from lovageshunt.sidecar._knowledge import Knowledge
+from lovageshunt.sidecar._knowledge import FleetState
 from lovageshunt.sidecar._meters import Meters, MetricsPage
 from lovageshunt.sidecar._node_links import LinkFrames, NodeLinks
 from lovageshunt.sidecar._origin import Origin
@@ -121,7 +121,7 @@
             make_dialer=self._links.make_dialer,
         )
         #: What is known of the fleet, for those who read it elsewhere.
-        self.knowledge = Knowledge(
+        self.knowledge = FleetState(
             greeting,
             self._fleet,
             self._configure,
