--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -36,12 +36,12 @@
         self,
         *,
         fleet: Fleet,
-        knowledge: FleetState,
+        fleet_state: FleetState,
         reports: PressureReports,
     ) -> None:
         """Hand each frame to the part that it is for."""
         self._fleet = fleet
-        self._knowledge = knowledge
+        self._knowledge = fleet_state
         self._reports = reports
 
     def on_incoming(self, link: IncomingLink, frame: Frame) -> None:
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -73,7 +73,7 @@
         *,
         executor: Executor,
         fleet: Fleet,
-        knowledge: FleetState,
+        fleet_state: FleetState,
         budgets: FleetRetryBudgets,
         broadcast: Broadcast,
         rng: Random,
@@ -81,7 +81,7 @@
         """Begin with nothing told."""
         self._executor = executor
         self._fleet = fleet
-        self._knowledge = knowledge
+        self._knowledge = fleet_state
         self._broadcast = broadcast
         self._graph = CallGraph()
         self._needs = NeedsBook()
--- a/src/lovageshunt/sidecar/_sidecar.py
+++ b/src/lovageshunt/sidecar/_sidecar.py
@@ -121,7 +121,7 @@
             make_dialer=self._links.make_dialer,
         )
         #: What is known of the fleet, for those who read it elsewhere.
-        self.knowledge = FleetState(
+        self.fleet_state = FleetState(
             greeting,
             self._fleet,
             self._configure,
@@ -130,14 +130,14 @@
         self._reports = PressureReports(
             executor=self._executor,
             fleet=self._fleet,
-            knowledge=self.knowledge,
+            fleet_state=self.fleet_state,
             budgets=self._retries,
             broadcast=self._links.broadcast,
             rng=rng,
         )
         self._links.frames = LinkFrames(
             fleet=self._fleet,
-            knowledge=self.knowledge,
+            fleet_state=self.fleet_state,
             reports=self._reports,
         )
         self._origin = Origin(
@@ -155,7 +155,7 @@
     @property
     def is_ready(self) -> bool:
         """Tell whether requests can be served."""
-        return self.knowledge.is_complete and not self._stop.is_set()
+        return self.fleet_state.is_complete and not self._stop.is_set()
 
     async def run(self) -> None:
         """Serve until a planned stop is over."""
@@ -224,8 +224,8 @@
             load=self._executor.queue.load(),
             share=self._executor.demand.share,
             accepted=self._executor.refusals.accepted,
-            version=self.knowledge.greeting.version,
-            is_platform_away=self.knowledge.is_platform_away,
+            version=self.fleet_state.greeting.version,
+            is_platform_away=self.fleet_state.is_platform_away,
         )
         self._meters.set_suppressed(self._suppressed())
         for connection in list(self._clients):
--- a/tests/platform/test_follow.py
+++ b/tests/platform/test_follow.py
@@ -55,16 +55,16 @@
     store.put('op/config', configuration(3))
     store.put('servers/i-1', entry())
     store.put('servers/i-2', entry())
-    knowledge = FakeKnowledge()
+    fleet_state = FakeKnowledge()
     client = StoreClient(store.host, store.port)
-    follower = Follower(client, knowledge)  # type: ignore[arg-type]
+    follower = Follower(client, fleet_state)  # type: ignore[arg-type]
     tasks = [
         asyncio.ensure_future(follower.run()),
         asyncio.ensure_future(follower.expire()),
     ]
     try:
-        await until(lambda: knowledge.ids == {'i-1', 'i-2'})
-        yield store, knowledge
+        await until(lambda: fleet_state.ids == {'i-1', 'i-2'})
+        yield store, fleet_state
     finally:
         for task in tasks:
             task.cancel()
@@ -82,35 +82,35 @@
 
     async def test_reads_all_pages(self) -> None:
         """A list that comes in pages is read to its end."""
-        async with following(page=1) as (_, knowledge):
-            assert knowledge.versions == [3]
-            assert knowledge.revision > 0
+        async with following(page=1) as (_, fleet_state):
+            assert fleet_state.versions == [3]
+            assert fleet_state.revision > 0
 
     async def test_takes_changes_at_once(self) -> None:
         """A new configuration and a leaving target are told in a moment."""
-        async with following() as (store, knowledge):
+        async with following() as (store, fleet_state):
             store.put('op/config', configuration(4))
             store.remove('servers/i-1')
-            await until(lambda: knowledge.ids == {'i-2'}, 1)
-            await until(lambda: knowledge.versions[-1] == 4, 1)
+            await until(lambda: fleet_state.ids == {'i-2'}, 1)
+            await until(lambda: fleet_state.versions[-1] == 4, 1)
 
     async def test_costs_few_calls_in_a_storm(self) -> None:
         """Changes in quick succession are taken together."""
-        async with following() as (store, knowledge):
+        async with following() as (store, fleet_state):
             before = store.calls
             for version in range(4, 24):
                 store.put('op/config', configuration(version))
                 await asyncio.sleep(0.02)
-            await until(lambda: knowledge.versions[-1] == 23)
+            await until(lambda: fleet_state.versions[-1] == 23)
             assert store.calls - before < 10
 
     async def test_reads_anew_when_history_is_lost(self) -> None:
         """After a 410 the whole list is read, and what left is gone."""
-        async with following() as (store, knowledge):
+        async with following() as (store, fleet_state):
             store.forgotten = store.revision + 10
             store.remove('servers/i-2')
             store.put('servers/i-3', entry())
-            await until(lambda: knowledge.ids == {'i-1', 'i-3'})
+            await until(lambda: fleet_state.ids == {'i-1', 'i-3'})
 
     @pytest.mark.parametrize('status', [503, 429])
     async def test_forgets_nothing_when_the_store_refuses(
@@ -118,46 +118,46 @@
         status: int,
     ) -> None:
         """A store that answers 503 or 429 empties no list."""
-        async with following() as (store, knowledge):
+        async with following() as (store, fleet_state):
             store.status = status
             store.put('op/config', configuration(3))
-            await until(lambda: knowledge.is_platform_away)
-            assert knowledge.ids == {'i-1', 'i-2'}
+            await until(lambda: fleet_state.is_platform_away)
+            assert fleet_state.ids == {'i-1', 'i-2'}
             store.status = None
-            await until(lambda: not knowledge.is_platform_away)
+            await until(lambda: not fleet_state.is_platform_away)
 
     async def test_notices_a_silent_connection(self) -> None:
         """A watch that is never answered is given up within its time."""
-        async with following() as (store, knowledge):
+        async with following() as (store, fleet_state):
             store.is_silent = True
-            await until(lambda: knowledge.is_platform_away, 8)
-            assert knowledge.ids == {'i-1', 'i-2'}
+            await until(lambda: fleet_state.is_platform_away, 8)
+            assert fleet_state.ids == {'i-1', 'i-2'}
 
     async def test_keeps_a_target_that_lapsed_in_an_outage(self) -> None:
         """A target that is missing after an outage has time to return."""
-        async with following() as (store, knowledge):
+        async with following() as (store, fleet_state):
             store.status = 503
             store.remove('servers/i-1')
-            await until(lambda: knowledge.is_platform_away)
+            await until(lambda: fleet_state.is_platform_away)
             store.status = None
-            await until(lambda: not knowledge.is_platform_away)
-            assert 'i-1' in knowledge.ids
-            await until(lambda: knowledge.ids == {'i-2'})
+            await until(lambda: not fleet_state.is_platform_away)
+            assert 'i-1' in fleet_state.ids
+            await until(lambda: fleet_state.ids == {'i-2'})
 
     async def test_passes_over_entries_that_name_no_target(self) -> None:
         """Another writer's entry hides none of the others."""
-        async with following() as (store, knowledge):
+        async with following() as (store, fleet_state):
             store.put('servers/i-9', b'\x00nonsense')
             store.put('servers/i-8', entry(slots='many'))
             store.put('servers/i-3', entry())
-            await until(lambda: 'i-3' in knowledge.ids)
-            assert knowledge.ids == {'i-1', 'i-2', 'i-3'}
+            await until(lambda: 'i-3' in fleet_state.ids)
+            assert fleet_state.ids == {'i-1', 'i-2', 'i-3'}
 
     async def test_keeps_the_configuration_that_it_has(self) -> None:
         """A value that is no configuration, or none, changes nothing."""
-        async with following() as (store, knowledge):
+        async with following() as (store, fleet_state):
             store.put('op/config', b'{}')
             store.remove('op/config')
             store.put('servers/i-3', entry())
-            await until(lambda: 'i-3' in knowledge.ids)
-            assert set(knowledge.versions) == {3}
+            await until(lambda: 'i-3' in fleet_state.ids)
+            assert set(fleet_state.versions) == {3}
--- a/tests/sidecar/world.py
+++ b/tests/sidecar/world.py
@@ -156,10 +156,10 @@
     def publish(self, *services: str) -> None:
         """Tell every node of all targets and of one route a service."""
         for node in self.nodes:
-            node.knowledge.take_configuration(
+            node.fleet_state.take_configuration(
                 configuration(*(services or ('s',)))
             )
-            node.knowledge.take_targets(self.entries(), 1)
+            node.fleet_state.take_targets(self.entries(), 1)
 
     def entries(self, slots: int = 4) -> list[TargetEntry]:
         return [
