--- a/src/lovageshunt/sidecar/_knowledge.py
+++ b/src/lovageshunt/sidecar/_knowledge.py
@@ -57,7 +57,7 @@
         """Tell whether requests can be served by it."""
         return self.configuration is not None and self.greeting.revision > 0
 
-    def take_configuration(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Put a configuration into force, unless it is an older one."""
         if configuration.version <= self.greeting.version:
             return
@@ -90,7 +90,7 @@
     def take_picture(self, picture: Picture) -> None:
         """Take from another node what is newer there."""
         if picture.configuration is not None:
-            self.take_configuration(picture.configuration)
+            self.apply_configuration(picture.configuration)
         if picture.revision <= self.greeting.revision:
             return
         _log.info(
--- a/tests/platform/test_follow.py
+++ b/tests/platform/test_follow.py
@@ -25,7 +25,7 @@
         self.revision = 0
         self.is_platform_away = True
 
-    def take_configuration(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         self.versions.append(configuration.version)
 
     def take_targets(
--- a/tests/sidecar/test_path.py
+++ b/tests/sidecar/test_path.py
@@ -88,8 +88,8 @@
         """An older version that arrives late changes nothing."""
         async with world_of(1) as world:
             node = world.nodes[0]
-            node.fleet_state.take_configuration(configuration('s', version=5))
-            node.fleet_state.take_configuration(
+            node.fleet_state.apply_configuration(configuration('s', version=5))
+            node.fleet_state.apply_configuration(
                 configuration('gone', version=4)
             )
             client = await client_of(world.hosts[0])
@@ -452,7 +452,7 @@
         """A node that reads nothing is ready by what a node told it."""
         async with world_of(2, is_published=False) as world:
             first, second = world.nodes
-            first.fleet_state.take_configuration(configuration('s'))
+            first.fleet_state.apply_configuration(configuration('s'))
             first.fleet_state.take_targets(world.entries(), 1)
             await wait_until(lambda: second.is_ready)
             client = await client_of(world.hosts[1])
--- a/tests/sidecar/world.py
+++ b/tests/sidecar/world.py
@@ -156,7 +156,7 @@
     def publish(self, *services: str) -> None:
         """Tell every node of all targets and of one route a service."""
         for node in self.nodes:
-            node.fleet_state.take_configuration(
+            node.fleet_state.apply_configuration(
                 configuration(*(services or ('s',)))
             )
             node.fleet_state.take_targets(self.entries(), 1)
