--- a/src/lovageshunt/sidecar/_knowledge.py
+++ b/src/lovageshunt/sidecar/_knowledge.py
@@ -69,7 +69,7 @@
             extra={'version': configuration.version},
         )
 
-    def take_targets(
+    def apply_targets(
         self,
         entries: list[TargetEntry],
         revision: int,
@@ -101,7 +101,7 @@
                 'targets': len(picture.entries),
             },
         )
-        self.take_targets(picture.entries, picture.revision)
+        self.apply_targets(picture.entries, picture.revision)
 
     def wants_from(self, revision: int, version: int) -> bool:
         """Tell whether to ask a node that knows so much; not too often.
--- a/tests/platform/test_follow.py
+++ b/tests/platform/test_follow.py
@@ -28,7 +28,7 @@
     def apply_configuration(self, configuration: Configuration) -> None:
         self.versions.append(configuration.version)
 
-    def take_targets(
+    def apply_targets(
         self,
         entries: list[TargetEntry],
         revision: int,
--- a/tests/sidecar/test_path.py
+++ b/tests/sidecar/test_path.py
@@ -26,7 +26,7 @@
 async def far_client(world: World) -> Client:
     """Connect to the first node of a world whose only target is far."""
     for node in world.nodes:
-        node.fleet_state.take_targets(world.entries()[1:], 2)
+        node.fleet_state.apply_targets(world.entries()[1:], 2)
     return await client_of(world.hosts[0])
 
 
@@ -314,7 +314,7 @@
             for target in world.targets:
                 target.serve = never
             for node in world.nodes:
-                node.fleet_state.take_targets(world.entries()[1:], 2)
+                node.fleet_state.apply_targets(world.entries()[1:], 2)
             client = await client_of(world.hosts[0])
             client.send('/buy/a', body=b'x')
             runs = [target.received for target in world.targets]
@@ -351,9 +351,9 @@
 
             target.serve = echo
             assert (await client.ask('/read/a')).body == b'/read/a'
-            world.nodes[0].fleet_state.take_targets([], 3)
+            world.nodes[0].fleet_state.apply_targets([], 3)
             await asyncio.sleep(0.7)
-            world.nodes[0].fleet_state.take_targets(world.entries()[1:], 4)
+            world.nodes[0].fleet_state.apply_targets(world.entries()[1:], 4)
             assert (await client.ask('/read/b')).body == b'/read/b'
             assert len(target.received) == 2
 
@@ -371,7 +371,7 @@
             client = await far_client(world)
             client.send('/buy/a', body=b'x')
             await wait_until(lambda: target.received)
-            world.nodes[0].fleet_state.take_targets(world.entries()[:1], 3)
+            world.nodes[0].fleet_state.apply_targets(world.entries()[:1], 3)
             await asyncio.sleep(0.7)
             go_on.set()
             assert (await client.read()).body == b'done'
@@ -440,7 +440,7 @@
         """Other nodes place no more calls beside a node that stops."""
         async with world_of(3) as world:
             for node in world.nodes:
-                node.fleet_state.take_targets(world.entries()[1:], 2)
+                node.fleet_state.apply_targets(world.entries()[1:], 2)
             world.nodes[1].stop()
             await asyncio.sleep(0.1)
             client = await client_of(world.hosts[0])
@@ -453,7 +453,7 @@
         async with world_of(2, is_published=False) as world:
             first, second = world.nodes
             first.fleet_state.apply_configuration(configuration('s'))
-            first.fleet_state.take_targets(world.entries(), 1)
+            first.fleet_state.apply_targets(world.entries(), 1)
             await wait_until(lambda: second.is_ready)
             client = await client_of(world.hosts[1])
             assert status_of(await client.ask('/read/a')) == 200
@@ -480,7 +480,7 @@
                 return answer(received)
 
             target.serve = slow
-            world.nodes[0].fleet_state.take_targets(world.entries(1), 2)
+            world.nodes[0].fleet_state.apply_targets(world.entries(1), 2)
             clients = [await client_of(world.hosts[0]) for _ in range(2)]
             for client in clients:
                 client.send('/read/a')
@@ -508,7 +508,7 @@
                 return answer(received, extra='X-Load: 1\r\n')
 
             target.serve = slow
-            world.nodes[0].fleet_state.take_targets(world.entries(1), 2)
+            world.nodes[0].fleet_state.apply_targets(world.entries(1), 2)
             first = await client_of(world.hosts[0])
             second = await client_of(world.hosts[0])
             first.send('/read/a', left_ms=1900)
@@ -531,7 +531,7 @@
                 return answer(received)
 
             target.serve = slow
-            world.nodes[0].fleet_state.take_targets(world.entries(1), 2)
+            world.nodes[0].fleet_state.apply_targets(world.entries(1), 2)
             first = await client_of(world.hosts[0])
             second = await client_of(world.hosts[0])
             first.send('/read/a', left_ms=1900)
--- a/tests/sidecar/world.py
+++ b/tests/sidecar/world.py
@@ -159,7 +159,7 @@
             node.fleet_state.apply_configuration(
                 configuration(*(services or ('s',)))
             )
-            node.fleet_state.take_targets(self.entries(), 1)
+            node.fleet_state.apply_targets(self.entries(), 1)
 
     def entries(self, slots: int = 4) -> list[TargetEntry]:
         return [
