--- a/src/lovageshunt/sidecar/_knowledge.py
+++ b/src/lovageshunt/sidecar/_knowledge.py
@@ -25,7 +25,7 @@
     __slots__ = (
         'greeting',
         'configuration',
-        'is_platform_away',
+        'is_platform_unreachable',
         '_fleet',
         '_configured',
         '_listed',
@@ -46,7 +46,7 @@
         self.greeting = greeting
         self.configuration: Configuration | None = None
         #: Whether the platform does not answer, so that nodes are asked.
-        self.is_platform_away = True
+        self.is_platform_unreachable = True
         self._fleet = fleet
         self._configured = configured
         self._listed = listed
@@ -109,7 +109,7 @@
         While the platform answers, it is asked and no node is.
         """
         own = self.greeting
-        if not self.is_platform_away:
+        if not self.is_platform_unreachable:
             return False
         if revision <= own.revision and version <= own.version:
             return False
--- a/src/lovageshunt/sidecar/_meters.py
+++ b/src/lovageshunt/sidecar/_meters.py
@@ -59,7 +59,7 @@
         share: float,
         accepted: float,
         version: int,
-        is_platform_away: bool,
+        is_platform_unreachable: bool,
     ) -> None:
         """Set what is so at this moment."""
         calls = 'lovageshunt_target_calls'
@@ -69,7 +69,7 @@
             ('lovageshunt_demand_share', share),
             ('lovageshunt_target_accepted_share', accepted),
             ('lovageshunt_configuration_version', version),
-            ('lovageshunt_platform_away', float(is_platform_away)),
+            ('lovageshunt_platform_away', float(is_platform_unreachable)),
         ):
             self._metrics.cell(name).value = number
 
--- a/src/lovageshunt/sidecar/_sidecar.py
+++ b/src/lovageshunt/sidecar/_sidecar.py
@@ -225,7 +225,7 @@
             share=self._executor.demand.share,
             accepted=self._executor.refusals.accepted,
             version=self.fleet_state.greeting.version,
-            is_platform_away=self.fleet_state.is_platform_away,
+            is_platform_unreachable=self.fleet_state.is_platform_unreachable,
         )
         self._meters.set_suppressed(self._suppressed())
         for connection in list(self._clients):
--- a/tests/platform/test_follow.py
+++ b/tests/platform/test_follow.py
@@ -23,7 +23,7 @@
         self.versions: list[int] = []
         self.ids: set[str] = set()
         self.revision = 0
-        self.is_platform_away = True
+        self.is_platform_unreachable = True
 
     def apply_configuration(self, configuration: Configuration) -> None:
         self.versions.append(configuration.version)
@@ -121,16 +121,16 @@
         async with following() as (store, fleet_state):
             store.status = status
             store.put('op/config', configuration(3))
-            await until(lambda: fleet_state.is_platform_away)
+            await until(lambda: fleet_state.is_platform_unreachable)
             assert fleet_state.ids == {'i-1', 'i-2'}
             store.status = None
-            await until(lambda: not fleet_state.is_platform_away)
+            await until(lambda: not fleet_state.is_platform_unreachable)
 
     async def test_notices_a_silent_connection(self) -> None:
         """A watch that is never answered is given up within its time."""
         async with following() as (store, fleet_state):
             store.is_silent = True
-            await until(lambda: fleet_state.is_platform_away, 8)
+            await until(lambda: fleet_state.is_platform_unreachable, 8)
             assert fleet_state.ids == {'i-1', 'i-2'}
 
     async def test_keeps_a_target_that_lapsed_in_an_outage(self) -> None:
@@ -138,9 +138,9 @@
         async with following() as (store, fleet_state):
             store.status = 503
             store.remove('servers/i-1')
-            await until(lambda: fleet_state.is_platform_away)
+            await until(lambda: fleet_state.is_platform_unreachable)
             store.status = None
-            await until(lambda: not fleet_state.is_platform_away)
+            await until(lambda: not fleet_state.is_platform_unreachable)
             assert 'i-1' in fleet_state.ids
             await until(lambda: fleet_state.ids == {'i-2'})
 
