--- a/src/lovageshunt/sidecar/_target_list.py
+++ b/src/lovageshunt/sidecar/_target_list.py
@@ -31,7 +31,7 @@
         """Return the targets that calls may be placed at."""
         return list(self._entry_by_id.values())
 
-    def platform_away(self, now: float) -> None:
+    def note_platform_unreachable(self, now: float) -> None:
         """Note that the platform did not answer."""
         self._away_at = now
 
--- a/tests/sidecar/test_target_list.py
+++ b/tests/sidecar/test_target_list.py
@@ -39,7 +39,7 @@
     def test_keeps_what_lapsed_in_an_outage(self) -> None:
         """A target that an outage dropped stays for two seconds."""
         targets = list_of(entry('a'), entry('b'))
-        targets.platform_away(100)
+        targets.note_platform_unreachable(100)
         targets.replace([entry('b')], 101)
         assert ids(targets) == {'a', 'b'}
         assert not targets.expire(103)
@@ -49,7 +49,7 @@
     def test_forgets_the_lapse_of_one_that_returns(self) -> None:
         """A target that registered again is not dropped later."""
         targets = list_of(entry('a'))
-        targets.platform_away(100)
+        targets.note_platform_unreachable(100)
         targets.remove('a', 101)
         targets.put(entry('a'))
         assert not targets.expire(200)
@@ -58,6 +58,6 @@
     def test_drops_one_that_had_said_that_it_leaves(self) -> None:
         """A leaving target that is gone after an outage did leave."""
         targets = list_of(entry('a', is_leaving=True))
-        targets.platform_away(100)
+        targets.note_platform_unreachable(100)
         targets.remove('a', 101)
         assert not ids(targets)
