--- a/src/lovageshunt/sidecar/_header_names.py
+++ b/src/lovageshunt/sidecar/_header_names.py
@@ -51,7 +51,7 @@
         self.read_load = read_load
 
     @property
-    def set_here(self) -> frozenset[bytes]:
+    def overwritten(self) -> frozenset[bytes]:
         """Return the request fields that a node sets, whatever was sent."""
         return frozenset(
             (self.time_left, self.target_id, self.caller_service),
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -64,7 +64,7 @@
         self._own_host = own_host
         self._own_service = own_service
         self._header_names = header_names
-        self._dropped = header_names.set_here
+        self._dropped = header_names.overwritten
         self._executor = executor
         self._fleet = fleet
         self._budgets = budgets
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -24,5 +24,5 @@
 
     def test_is_in_lower_case(self) -> None:
         """A name in another case would never be found."""
-        names = [DIALECT.attempt_id, DIALECT.proof, *DIALECT.set_here]
+        names = [DIALECT.attempt_id, DIALECT.proof, *DIALECT.overwritten]
         assert all(name == name.lower() for name in names)
