--- a/src/lovageshunt/sidecar/_fleet.py
+++ b/src/lovageshunt/sidecar/_fleet.py
@@ -22,7 +22,7 @@
 
     ``host`` and ``port`` are its address. ``started_ms`` is when it started
     and distinguishes restarts under one id. ``slots`` is how many calls it
-    runs at a time. ``is_leaving`` means that it accepts no new calls,
+    runs at a time. ``is_leaving`` asks that new calls go to other targets;
     ``cold_seconds`` is how much longer it is slow after its start. Nodes
     exchange entries as JSON under these field names.
     """
