--- a/bench/_protected.py
+++ b/bench/_protected.py
@@ -121,9 +121,9 @@
 
     def _finish(self, call: Call, info: AnswerInfo) -> None:
         _call, reply = self._running.pop(call.call_id)
-        was_good = info.outcome is Outcome.ANSWERED
+        was_complete = info.outcome is Outcome.ANSWERED
         self._learn(call)
-        self._handle(Finished(call.call_id, was_good=was_good))
+        self._handle(Finished(call.call_id, was_complete=was_complete))
         self._answer(call, reply, info)
 
     def _learn(self, call: Call) -> None:
--- a/src/lovageshunt/admission/_admission.py
+++ b/src/lovageshunt/admission/_admission.py
@@ -135,7 +135,7 @@
         self._control.record_finish(
             self._now - call.started_at,
             self._now,
-            was_good=event.was_good and not call.is_aborted,
+            was_complete=event.was_complete and not call.is_aborted,
             was_shed=event.was_shed,
         )
 
--- a/src/lovageshunt/admission/_control.py
+++ b/src/lovageshunt/admission/_control.py
@@ -70,7 +70,7 @@
         seconds: float,
         now: float,
         *,
-        was_good: bool,
+        was_complete: bool,
         was_shed: bool,
     ) -> None:
         """Count a finished call.
@@ -82,7 +82,7 @@
         self._completed += 1
         if now - seconds < self._paused_until:
             return
-        if was_good or seconds > self.service_seconds:
+        if was_complete or seconds > self.service_seconds:
             self._limit.record(seconds, now)
         if was_shed:
             self._limit.record_shed()
--- a/src/lovageshunt/admission/_events.py
+++ b/src/lovageshunt/admission/_events.py
@@ -40,23 +40,24 @@
 class Finished(Record):
     """A dispatched call left its target; an aborted one too.
 
-    ``was_good`` is false when no whole answer came, whoever is at fault; the
-    call's time then says nothing. ``was_shed`` is true when the target itself
-    refused the call for its load, which lowers the limit.
+    ``was_complete`` is false when no complete answer arrived, whatever the
+    cause; the call's duration is then no valid sample. ``was_shed`` is true
+    when the target itself refused the call because of its load, which lowers
+    the limit.
     """
 
-    __slots__ = ('call_id', 'was_good', 'was_shed')
+    __slots__ = ('call_id', 'was_complete', 'was_shed')
 
     def __init__(
         self,
         call_id: str,
         *,
-        was_good: bool,
+        was_complete: bool,
         was_shed: bool = False,
     ) -> None:
         """Say how the call ended."""
         self.call_id = call_id
-        self.was_good = was_good
+        self.was_complete = was_complete
         self.was_shed = was_shed
 
 
--- a/src/lovageshunt/admission/_target_queue.py
+++ b/src/lovageshunt/admission/_target_queue.py
@@ -144,7 +144,7 @@
         if call is None or event.was_shed:
             return
         seconds = now - call.started_at
-        if event.was_good or seconds > self._service_seconds:
+        if event.was_complete or seconds > self._service_seconds:
             change = _SERVICE_WEIGHT * (seconds - self._service_seconds)
             self._service_seconds += change
 
--- a/src/lovageshunt/node/gate/_actions.py
+++ b/src/lovageshunt/node/gate/_actions.py
@@ -78,7 +78,7 @@
     """Give back the slot of a call that was not forwarded after all."""
     ended = FlightEnded(call_id=ticket, is_complete=False)
     out.extend(state.quarantine.handle(ended, now))
-    finished = Finished(ticket, was_good=True)
+    finished = Finished(ticket, was_complete=True)
     follow(state.admission.handle(finished, now), state, now, out)
 
 
--- a/src/lovageshunt/node/gate/_events.py
+++ b/src/lovageshunt/node/gate/_events.py
@@ -85,7 +85,7 @@
     out.extend(state.quarantine.handle(ended, now))
     finished = Finished(
         event.ticket,
-        was_good=event.is_complete,
+        was_complete=event.is_complete,
         was_shed=event.was_shed,
     )
     freed = state.admission.handle(finished, now)
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -265,7 +265,7 @@
         self._tell(
             Finished(
                 run.call_id,
-                was_good=read.outcome is Outcome.ANSWERED,
+                was_complete=read.outcome is Outcome.ANSWERED,
                 was_shed=read.outcome is Outcome.NOT_RUN,
             ),
         )
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -76,16 +76,16 @@
     @precondition(lambda machine: machine.running)
     @rule(
         pick=st.randoms(use_true_random=False),
-        was_good=st.booleans(),
+        was_complete=st.booleans(),
         was_shed=st.booleans(),
         late=LATE,
     )
-    def finish(self, pick, was_good, was_shed, late):
+    def finish(self, pick, was_complete, was_shed, late):
         self.pass_time(late)
         call_id = pick.choice(sorted(self.running))
         self.running.discard(call_id)
         self.send(
-            Finished(call_id, was_good=was_good, was_shed=was_shed),
+            Finished(call_id, was_complete=was_complete, was_shed=was_shed),
         )
 
     @precondition(lambda machine: machine.running or machine.waiting)
@@ -185,7 +185,7 @@
         arrive(admission, 'b', 0, level=level_of(5))
         arrive(admission, 'c', 0, level=level_of(1))
 
-        actions = admission.handle(Finished('a', was_good=True), 0.01)
+        actions = admission.handle(Finished('a', was_complete=True), 0.01)
 
         assert actions == [Dispatch('c')]
 
@@ -205,7 +205,7 @@
             arrive(admission, call_id, 0)
         arrive(admission, 'c', 0, seconds=0.1)
 
-        actions = admission.handle(Finished('a', was_good=True), 0.09)
+        actions = admission.handle(Finished('a', was_complete=True), 0.09)
 
         assert [action.reason for action in actions] == [RefusalReason.DEADLINE]
 
@@ -232,7 +232,7 @@
 
         assert {action.reason for action in refused} == {RefusalReason.LEAVING}
         assert not admission.is_drained
-        admission.handle(Finished('a', was_good=True), 0.02)
+        admission.handle(Finished('a', was_complete=True), 0.02)
         assert admission.is_drained
 
     def test_drain_that_cannot_finish_aborts(self):
@@ -319,7 +319,7 @@
         for step in range(100):
             arrive(admission, str(step), step * 0.01)
             admission.handle(
-                Finished(str(step), was_good=False, was_shed=True),
+                Finished(str(step), was_complete=False, was_shed=True),
                 step * 0.01,
             )
 
@@ -378,7 +378,7 @@
     def run(self, now):
         while self.ends and self.ends[0][0] <= now:
             ends_at, call_id = heappop(self.ends)
-            finished = Finished(call_id, was_good=True)
+            finished = Finished(call_id, was_complete=True)
             self.start(self.admission.handle(finished, ends_at), ends_at)
 
     def start(self, actions, now):
--- a/tests/admission/test_target_queue.py
+++ b/tests/admission/test_target_queue.py
@@ -55,7 +55,7 @@
         queue = full_queue()
         queue.handle(arrived('client', importance=1, deadline=1), 0)
         queue.handle(arrived('inner', importance=0, deadline=9), 0)
-        finished = Finished('r', was_good=True)
+        finished = Finished('r', was_complete=True)
         assert queue.handle(finished, 0.1) == [Dispatch('inner')]
 
     def test_takes_the_nearer_deadline_first(self) -> None:
@@ -63,7 +63,7 @@
         queue = full_queue()
         queue.handle(arrived('late', deadline=9), 0)
         queue.handle(arrived('soon', deadline=3), 0)
-        finished = Finished('r', was_good=True)
+        finished = Finished('r', was_complete=True)
         assert queue.handle(finished, 0.1) == [Dispatch('soon')]
 
     def test_refuses_at_once_what_cannot_end_in_time(self) -> None:
@@ -90,7 +90,7 @@
         queue = full_queue()
         queue.handle(arrived('a'), 0)
         assert not queue.handle(Cancelled('a'), 0.1)
-        assert not queue.handle(Finished('r', was_good=True), 0.2)
+        assert not queue.handle(Finished('r', was_complete=True), 0.2)
 
     def test_follows_the_slots_that_a_target_reports(self) -> None:
         """Published slots may be wrong; the target's own word holds."""
@@ -149,7 +149,7 @@
     def finish(self, is_good: bool, is_shed: bool) -> None:
         if self.running:
             call_id = self.running.pop()
-            self.play(Finished(call_id, was_good=is_good, was_shed=is_shed))
+            self.play(Finished(call_id, was_complete=is_good, was_shed=is_shed))
 
     @rule(seconds=st.floats(0, 1))
     def wait(self, seconds: float) -> None:
