--- a/src/lovageshunt/admission/_events.py
+++ b/src/lovageshunt/admission/_events.py
@@ -9,11 +9,11 @@
 class Arrived(Record):
     """A call reached the node; ``deadline`` is on the node's own clock.
 
-    ``waits_until`` is how long it may wait for a slot, its deadline if that
+    ``queue_deadline`` is how long it may wait for a slot, its deadline if that
     is not given.
     """
 
-    __slots__ = ('call_id', 'level', 'deadline', 'waits_until')
+    __slots__ = ('call_id', 'level', 'deadline', 'queue_deadline')
 
     def __init__(
         self,
@@ -21,13 +21,15 @@
         call_id: str,
         level: int,
         deadline: float,
-        waits_until: float | None = None,
+        queue_deadline: float | None = None,
     ) -> None:
         """Name the call; the id is unique among calls here."""
         self.call_id = call_id
         self.level = level
         self.deadline = deadline
-        self.waits_until = deadline if waits_until is None else waits_until
+        self.queue_deadline = (
+            deadline if queue_deadline is None else queue_deadline
+        )
 
 
 class _CallRecord(Record):
--- a/src/lovageshunt/admission/_target_queue.py
+++ b/src/lovageshunt/admission/_target_queue.py
@@ -124,11 +124,11 @@
         if self._is_draining:
             actions.append(self._refusal(call, RefusalReason.LEAVING))
             return
-        if not self._can_finish(call, event.waits_until, now):
+        if not self._can_finish(call, event.queue_deadline, now):
             actions.append(self._refusal(call, RefusalReason.OVERLOAD))
             return
         self._queue.add(call)
-        heappush(self._deadlines, (event.waits_until, call.call_id))
+        heappush(self._deadlines, (event.queue_deadline, call.call_id))
         if len(self._queue) > self._most_waiting:
             last = self._queue.remove(self._queue.last().call_id)
             actions.append(self._refusal(last, RefusalReason.QUEUE_FULL))
@@ -185,7 +185,7 @@
     def _can_finish(
         self,
         call: WaitingCall,
-        waits_until: float,
+        queue_deadline: float,
         now: float,
     ) -> bool:
         if len(self._running) < self.limit:
@@ -193,7 +193,7 @@
         ahead = self._queue.ahead_of(call) + 1
         starts_at = now + ahead * self._service_seconds / self._slots
         ends_at = starts_at + self._service_seconds
-        return starts_at <= waits_until and ends_at <= call.deadline
+        return starts_at <= queue_deadline and ends_at <= call.deadline
 
     def _fill(self, actions: list[Action], now: float) -> None:
         while self._queue and len(self._running) < self.limit:
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -127,15 +127,15 @@
         self.demand.asked(order.kind)
         now = clock_now()
         self._resends.requested(now)
-        waits_until = order.deadline
+        queue_deadline = order.deadline
         if order.importance > 0:
-            waits_until = now + _WAIT_PART * (order.deadline - now)
+            queue_deadline = now + _WAIT_PART * (order.deadline - now)
         self._tell(
             Arrived(
                 call_id=run.call_id,
                 level=level_of(order.importance, 0),
                 deadline=order.deadline,
-                waits_until=waits_until,
+                queue_deadline=queue_deadline,
             ),
         )
         return run
