--- a/bench/_protected.py
+++ b/bench/_protected.py
@@ -129,7 +129,9 @@
     def _learn(self, call: Call) -> None:
         now = self.network.loop.now
         told = self._thresholds.merged(now, call.asked)
-        self._thresholds.learn_needs(call.request.kind.name, list(told), now)
+        self._thresholds.record_dependencies(
+            call.request.kind.name, list(told), now
+        )
 
     def _refuse(
         self,
--- a/src/lovageshunt/admission/_caller.py
+++ b/src/lovageshunt/admission/_caller.py
@@ -50,7 +50,9 @@
         if threshold < OPEN_THRESHOLD:
             heard.refused_at = now
 
-    def learn_needs(self, kind: str, services: list[str], now: float) -> None:
+    def record_dependencies(
+        self, kind: str, services: list[str], now: float
+    ) -> None:
         """Remember which services an answer to a kind of request named."""
         # The kind renewed last stands last.
         needs = self._needs_by_kind.pop(kind, {})
--- a/src/lovageshunt/client/_engine.py
+++ b/src/lovageshunt/client/_engine.py
@@ -110,4 +110,4 @@
             self.thresholds.learn(named, threshold, now)
         below = [other for other in by_service if other != service]
         if below:
-            self.thresholds.learn_needs(f'{service}/{kind}', below, now)
+            self.thresholds.record_dependencies(f'{service}/{kind}', below, now)
--- a/src/lovageshunt/node/gate/_events.py
+++ b/src/lovageshunt/node/gate/_events.py
@@ -198,7 +198,7 @@
         state.thresholds.learn(service, threshold, now)
     if by_service:
         kind = arrival.event.context.kind
-        state.thresholds.learn_needs(kind, list(by_service), now)
+        state.thresholds.record_dependencies(kind, list(by_service), now)
 
 
 def _ending_of_abandoned(arrival: Arrival, reason: RefusalReason) -> Ending:
--- a/tests/admission/test_caller.py
+++ b/tests/admission/test_caller.py
@@ -50,7 +50,7 @@
     def test_kind_is_refused_only_for_what_it_needs(self):
         """A kind whose answers never named the service is let through."""
         thresholds = told(2 * RANK_COUNT)
-        thresholds.learn_needs('history', ['records'], 0)
+        thresholds.record_dependencies('history', ['records'], 0)
 
         assert thresholds.verdict_of_kind('history', LOW, 0) > 0
         assert thresholds.verdict_of_kind('tariff', LOW, 0) is None
@@ -59,7 +59,7 @@
         """The kind that was renewed longest ago is forgotten first."""
         thresholds = CallerThresholds(CallerSettings(most_kinds=2))
         for kind in ('a', 'b', 'a', 'c'):
-            thresholds.learn_needs(kind, ['records'], 0)
+            thresholds.record_dependencies(kind, ['records'], 0)
 
         assert [thresholds.needs(kind, 0) for kind in 'abc'] == [
             ['records'],
