--- a/src/lovageshunt/admission/_caller.py
+++ b/src/lovageshunt/admission/_caller.py
@@ -55,9 +55,9 @@
     ) -> None:
         """Remember which services an answer to a kind of request named."""
         # The kind renewed last stands last.
-        needs = self._needs_by_kind.pop(kind, {})
-        needs.update(dict.fromkeys(services, now))
-        self._needs_by_kind[kind] = needs
+        dependencies = self._needs_by_kind.pop(kind, {})
+        dependencies.update(dict.fromkeys(services, now))
+        self._needs_by_kind[kind] = dependencies
         if len(self._needs_by_kind) > self._settings.most_kinds:
             self._needs_by_kind.pop(next(iter(self._needs_by_kind)))
 
@@ -78,15 +78,15 @@
         """Return the verdict of all services that the kind needs."""
         waits = [
             self.verdict(service, level, now)
-            for service in self.needs(kind, now)
+            for service in self.dependencies(kind, now)
         ]
         return max((wait for wait in waits if wait is not None), default=None)
 
-    def needs(self, kind: str, now: float) -> list[str]:
+    def dependencies(self, kind: str, now: float) -> list[str]:
         """Return the services that answers to a kind named lately."""
         since = now - self._settings.memory_seconds
-        needs = self._needs_by_kind.get(kind, {})
-        return [service for service, at in needs.items() if at >= since]
+        dependencies = self._needs_by_kind.get(kind, {})
+        return [service for service, at in dependencies.items() if at >= since]
 
     def merged(
         self,
--- a/src/lovageshunt/node/gate/_gate.py
+++ b/src/lovageshunt/node/gate/_gate.py
@@ -80,7 +80,7 @@
         """
         thresholds = self._state.thresholds
         if asked is None:
-            asked = thresholds.needs(kind, now)
+            asked = thresholds.dependencies(kind, now)
         by_service = thresholds.merged(now, asked)
         by_service[self._state.run_once.service] = self.threshold
         return by_service
--- a/tests/admission/test_caller.py
+++ b/tests/admission/test_caller.py
@@ -61,7 +61,7 @@
         for kind in ('a', 'b', 'a', 'c'):
             thresholds.record_dependencies(kind, ['records'], 0)
 
-        assert [thresholds.needs(kind, 0) for kind in 'abc'] == [
+        assert [thresholds.dependencies(kind, 0) for kind in 'abc'] == [
             ['records'],
             [],
             ['records'],
