--- a/bench/_protected.py
+++ b/bench/_protected.py
@@ -128,7 +128,7 @@
 
     def _learn(self, call: Call) -> None:
         now = self.network.loop.now
-        told = self._thresholds.merged(now, call.asked)
+        told = self._thresholds.advertised(now, call.asked)
         self._thresholds.record_dependencies(
             call.request.kind.name, list(told), now
         )
@@ -149,7 +149,9 @@
     def _answer(self, call: Call, reply: Reply, info: AnswerInfo) -> None:
         info.unspent = call.unspent
         if self._variant.tells_callers:
-            told = self._thresholds.merged(self.network.loop.now, call.asked)
+            told = self._thresholds.advertised(
+                self.network.loop.now, call.asked
+            )
             own = {call.step.service: self.admission.threshold}
             info.threshold_by_service = told | own
         info.load = self.admission.load()
--- a/src/lovageshunt/admission/_caller.py
+++ b/src/lovageshunt/admission/_caller.py
@@ -88,7 +88,7 @@
         dependencies = self._needs_by_kind.get(kind, {})
         return [service for service, at in dependencies.items() if at >= since]
 
-    def merged(
+    def advertised(
         self,
         now: float,
         services: Collection[str] | None = None,
--- a/src/lovageshunt/client/_inbound.py
+++ b/src/lovageshunt/client/_inbound.py
@@ -164,7 +164,7 @@
                 reason=None if is_good else RefusalReason.TARGET_FAILED,
             )
         said.unspent = self.calls.unspent
-        said.threshold_by_service = self._client.engine.thresholds.merged(
+        said.threshold_by_service = self._client.engine.thresholds.advertised(
             now(),
             self.calls.asked,
         )
--- a/src/lovageshunt/node/egress/_below.py
+++ b/src/lovageshunt/node/egress/_below.py
@@ -80,7 +80,7 @@
             reason=reply.reason,
             retry_after_ms=reply.retry_after_ms,
             unspent=below.scope.unspent,
-            threshold_by_service=self._engine.thresholds.merged(
+            threshold_by_service=self._engine.thresholds.advertised(
                 now(),
                 below.scope.asked,
             ),
--- a/src/lovageshunt/node/gate/_gate.py
+++ b/src/lovageshunt/node/gate/_gate.py
@@ -81,7 +81,7 @@
         thresholds = self._state.thresholds
         if asked is None:
             asked = thresholds.dependencies(kind, now)
-        by_service = thresholds.merged(now, asked)
+        by_service = thresholds.advertised(now, asked)
         by_service[self._state.run_once.service] = self.threshold
         return by_service
 
--- a/tests/admission/test_caller.py
+++ b/tests/admission/test_caller.py
@@ -76,14 +76,14 @@
         thresholds = told(2 * RANK_COUNT)
         thresholds.learn('tariffs', OPEN_THRESHOLD, 0)
 
-        assert list(thresholds.merged(0)) == ['records']
+        assert list(thresholds.advertised(0)) == ['records']
 
     def test_only_services_asked_are_told(self):
         """An answer names none but the services that its call asked."""
         thresholds = told(2 * RANK_COUNT)
         thresholds.learn('stock', RANK_COUNT, 0)
 
-        assert list(thresholds.merged(0, {'stock'})) == ['stock']
+        assert list(thresholds.advertised(0, {'stock'})) == ['stock']
 
     def test_opened_service_is_told_for_a_while(self):
         """Callers above hear that a service refuses no more."""
@@ -91,5 +91,5 @@
         for _ in range(60):
             thresholds.learn('records', OPEN_THRESHOLD, 1)
 
-        assert thresholds.merged(1)['records'] > 7 * RANK_COUNT
-        assert not thresholds.merged(10)
+        assert thresholds.advertised(1)['records'] > 7 * RANK_COUNT
+        assert not thresholds.advertised(10)
