--- a/src/lovageshunt/routing/_placement.py
+++ b/src/lovageshunt/routing/_placement.py
@@ -34,7 +34,7 @@
 _NOBODY: Final[frozenset[str]] = frozenset()
 
 
-class Wanted(Record):
+class PlacementRequest(Record):
     """A call to be placed: its kind, its time, and where it must not go.
 
     ``seconds`` is the time within which its answer is worth most, ``among``
@@ -112,7 +112,7 @@
 
     def choose(
         self,
-        wanted: Wanted,
+        wanted: PlacementRequest,
         now: float,
         unreachable: frozenset[str] = _NOBODY,
     ) -> RouteMember | None:
@@ -190,7 +190,7 @@
 
     def _newcomer(
         self,
-        wanted: Wanted,
+        wanted: PlacementRequest,
         usable: list[Candidate],
     ) -> RouteMember | None:
         """Let one call of each node show that a new target works."""
@@ -204,7 +204,7 @@
     def _best(
         self,
         usable: list[Candidate],
-        wanted: Wanted,
+        wanted: PlacementRequest,
         now: float,
     ) -> Candidate:
         near = [
@@ -227,7 +227,7 @@
         self,
         near: Candidate,
         far: Candidate,
-        wanted: Wanted,
+        wanted: PlacementRequest,
         now: float,
     ) -> bool:
         failure_gap = near.failure_share - far.failure_share
@@ -249,7 +249,7 @@
     def _better_of_two(
         self,
         candidates: list[Candidate],
-        wanted: Wanted,
+        wanted: PlacementRequest,
         now: float,
     ) -> Candidate:
         if len(candidates) == 1:
--- a/src/lovageshunt/sidecar/_fleet.py
+++ b/src/lovageshunt/sidecar/_fleet.py
@@ -8,7 +8,7 @@
 from lovageshunt._record import Record
 from lovageshunt.clock import now as clock_now
 from lovageshunt.links import Dialer, LoadNews, RunAnswer
-from lovageshunt.routing import Placement, RouteMember, Wanted
+from lovageshunt.routing import Placement, PlacementRequest, RouteMember
 
 _log = getLogger(__name__)
 #: Answers of a target from this status on are failures of its own, but for
@@ -142,7 +142,9 @@
             placement.heard(entry.target_id, news.load, clock_now())
         return entry
 
-    def choose(self, service: str, wanted: Wanted) -> TargetEntry | None:
+    def choose(
+        self, service: str, wanted: PlacementRequest
+    ) -> TargetEntry | None:
         """Return the target for a call, or nothing if none may be used."""
         placement = self._placement_by_service.get(service)
         if placement is None:
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -17,7 +17,7 @@
     may_retry,
 )
 from lovageshunt.routes import Configuration, Route, RouteTable, SplitCursor
-from lovageshunt.routing import Wanted
+from lovageshunt.routing import PlacementRequest
 from lovageshunt.sidecar._answering import Answering
 from lovageshunt.sidecar._dialect import Dialect
 from lovageshunt.sidecar._executor import Executor
@@ -171,8 +171,8 @@
         else:
             budget.requested(call.started_at)
 
-    def _wanted(self, call: OriginCall, route: Route) -> Wanted:
-        return Wanted(
+    def _wanted(self, call: OriginCall, route: Route) -> PlacementRequest:
+        return PlacementRequest(
             kind=route.name,
             seconds=min(route.aim_seconds, route.timeout_seconds),
             may_explore=route.is_repeatable,
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from lovageshunt.calls import LoadReport, Outcome, RefusalReason
-from lovageshunt.routing import Placement, RouteMember, Wanted
+from lovageshunt.routing import Placement, PlacementRequest, RouteMember
 
 NEAR = 'near'
 FAR = 'far'
@@ -40,8 +40,8 @@
     excluded: frozenset[str] = NOBODY,
     *,
     may_explore: bool = False,
-) -> Wanted:
-    return Wanted(
+) -> PlacementRequest:
+    return PlacementRequest(
         kind='k',
         seconds=seconds,
         may_explore=may_explore,
@@ -95,7 +95,7 @@
     def test_goes_to_no_other_than_it_may(self) -> None:
         """A call that may go to some targets only is sent to one of them."""
         placement = placement_of(*BOTH)
-        call = Wanted(
+        call = PlacementRequest(
             kind='k',
             seconds=1,
             may_explore=False,
