--- a/src/lovageshunt/routing/_placement.py
+++ b/src/lovageshunt/routing/_placement.py
@@ -37,11 +37,11 @@
 class PlacementRequest(Record):
     """A call to be placed: its kind, its time, and where it must not go.
 
-    ``seconds`` is the time within which its answer is worth most, ``among``
+    ``seconds`` is the time within which its answer is worth most, ``allowed``
     the targets that it may go to, any if that is nothing.
     """
 
-    __slots__ = ('kind', 'seconds', 'may_explore', 'excluded', 'among')
+    __slots__ = ('kind', 'seconds', 'may_explore', 'excluded', 'allowed')
 
     def __init__(
         self,
@@ -50,20 +50,20 @@
         seconds: float,
         may_explore: bool,
         excluded: frozenset[str] = _NOBODY,
-        among: frozenset[str] | None = None,
+        allowed: frozenset[str] | None = None,
     ) -> None:
         """Take every field; ``may_explore`` lets it try a newcomer."""
         self.kind = kind
         self.seconds = seconds
         self.may_explore = may_explore
         self.excluded = excluded
-        self.among = among
+        self.allowed = allowed
 
     def may_go_to(self, target_id: str) -> bool:
         """Tell whether the call may be sent to a target."""
         if target_id in self.excluded:
             return False
-        return self.among is None or target_id in self.among
+        return self.allowed is None or target_id in self.allowed
 
 
 class Placement:
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -177,7 +177,7 @@
             seconds=min(route.aim_seconds, route.timeout_seconds),
             may_explore=route.is_repeatable,
             excluded=call.excluded,
-            among=call.may_be_sent_to(route.most_attempts),
+            allowed=call.may_be_sent_to(route.most_attempts),
         )
 
     def _seconds_left(self, request: Request, route: Route) -> float:
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -99,12 +99,12 @@
             kind='k',
             seconds=1,
             may_explore=False,
-            among=frozenset(('f',)),
+            allowed=frozenset(('f',)),
         )
         found = placement.choose(call, 0)
         assert found is not None
         assert found.node == 'f'
-        call.excluded = call.among or NOBODY
+        call.excluded = call.allowed or NOBODY
         assert placement.choose(call, 0) is None
 
     def test_spills_by_the_difference_in_load(self) -> None:
