--- a/src/lovageshunt/routes/__init__.py
+++ b/src/lovageshunt/routes/__init__.py
@@ -6,7 +6,7 @@
     Route,
     ServiceLimits,
 )
-from lovageshunt.routes._split import SplitCursor
+from lovageshunt.routes._split import WeightedRoundRobin
 from lovageshunt.routes._table import RouteTable
 
 __all__ = [
@@ -15,5 +15,5 @@
     'Route',
     'RouteTable',
     'ServiceLimits',
-    'SplitCursor',
+    'WeightedRoundRobin',
 ]
--- a/src/lovageshunt/routes/_split.py
+++ b/src/lovageshunt/routes/_split.py
@@ -3,7 +3,7 @@
 from lovageshunt.routes._configuration import Route
 
 
-class SplitCursor:
+class WeightedRoundRobin:
     """Smooth weighted round robin, one for each route in force.
 
     Each choice adds every weight to its service's credit and takes the sum
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -16,7 +16,12 @@
     RetryPlace,
     may_retry,
 )
-from lovageshunt.routes import Configuration, Route, RouteTable, SplitCursor
+from lovageshunt.routes import (
+    Configuration,
+    Route,
+    RouteTable,
+    WeightedRoundRobin,
+)
 from lovageshunt.routing import PlacementRequest
 from lovageshunt.sidecar._answering import Answering
 from lovageshunt.sidecar._dialect import Dialect
@@ -69,7 +74,7 @@
         self._answers = answers
         self._rng = rng
         self._table: RouteTable | None = None
-        self._cursor = SplitCursor()
+        self._cursor = WeightedRoundRobin()
         self.open_count = 0
         self._takes_all_until = float('inf')
         self._stops_at = float('inf')
--- a/tests/routes/test_split.py
+++ b/tests/routes/test_split.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lovageshunt.routes import Destination, Route, SplitCursor
+from lovageshunt.routes import Destination, Route, WeightedRoundRobin
 
 
 def split(*weights: float) -> Route:
@@ -38,7 +38,7 @@
         count: int,
     ) -> None:
         """After any number of requests each share is off by few."""
-        cursor = SplitCursor()
+        cursor = WeightedRoundRobin()
         route = split(*weights)
         chosen = Counter(cursor.choose(route) for _ in range(count))
         for at, weight in enumerate(weights):
@@ -47,7 +47,7 @@
 
     def test_follows_new_weights(self) -> None:
         """A new configuration's weights hold from its first request."""
-        cursor = SplitCursor()
+        cursor = WeightedRoundRobin()
         for _ in range(100):
             cursor.choose(split(1, 99))
         chosen = Counter(cursor.choose(split(9, 1)) for _ in range(100))
