--- a/bench/_systems.py
+++ b/bench/_systems.py
@@ -36,7 +36,7 @@
     BASELINE,
     Variant('not told', settings={}, tells_callers=False),
     Variant('any target', settings={}, weighs_targets=False),
-    Variant('slots only', settings={'most_share': 1}),
+    Variant('slots only', settings={'max_limit_share': 1}),
     Variant('current', settings={}),
 )
 
--- a/src/lovageshunt/admission/_limit.py
+++ b/src/lovageshunt/admission/_limit.py
@@ -151,5 +151,5 @@
         self._sample = _Sample(now)
 
     def _raised(self) -> float:
-        most = self._settings.slots * self._settings.most_share
+        most = self._settings.slots * self._settings.max_limit_share
         return min(most, max(self._limit + 1, self._limit * _TRIAL))
--- a/src/lovageshunt/admission/_settings.py
+++ b/src/lovageshunt/admission/_settings.py
@@ -8,7 +8,7 @@
 
     ``slots`` is what the platform publishes for the target and may be wrong;
     the limit on running calls stays between ``least_share`` and
-    ``most_share`` of it. The threshold aims at a queue time of one time of
+    ``max_limit_share`` of it. The threshold aims at a queue time of one time of
     service, but at least ``queue_target_seconds`` and at most
     ``most_queue_target_seconds``. ``window_seconds`` is the period of control,
     ``most_waiting`` the bound of the queue, ``floor_ranks`` the ranks of each
@@ -24,7 +24,7 @@
         'most_waiting',
         'floor_ranks',
         'least_share',
-        'most_share',
+        'max_limit_share',
         'retry_after_seconds',
         'most_retry_after_seconds',
         'drain_seconds',
@@ -41,7 +41,7 @@
         most_waiting: int = 1000,
         floor_ranks: int = 328,
         least_share: float = 0.1,
-        most_share: float = 2,
+        max_limit_share: float = 2,
         retry_after_seconds: float = 0.25,
         most_retry_after_seconds: float = 10,
         drain_seconds: float = 30,
@@ -55,7 +55,7 @@
         self.most_waiting = most_waiting
         self.floor_ranks = floor_ranks
         self.least_share = least_share
-        self.most_share = most_share
+        self.max_limit_share = max_limit_share
         self.retry_after_seconds = retry_after_seconds
         self.most_retry_after_seconds = most_retry_after_seconds
         self.drain_seconds = drain_seconds
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -131,7 +131,7 @@
         for action in self.admission.handle(event, self.now):
             self.check(action)
         self.check_that_late_calls_are_gone()
-        assert len(self.running) <= SLOTS * self.settings.most_share
+        assert len(self.running) <= SLOTS * self.settings.max_limit_share
         assert self.admission.next_wake(self.now) >= self.now
 
     def check(self, action):
