--- a/src/lovageshunt/admission/__init__.py
+++ b/src/lovageshunt/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Concurrency limits, priorities, queues and shedding beside one target."""
+"""Concurrency limit, priorities, queue and load shedding for one target."""
 
 from lovageshunt.admission._admission import Admission
 from lovageshunt.admission._caller import CallerThresholds
--- a/src/lovageshunt/admission/_admission.py
+++ b/src/lovageshunt/admission/_admission.py
@@ -1,4 +1,4 @@
-"""Which calls run beside one target, which wait and which are refused."""
+"""Admission of calls to one target: dispatch, queueing and refusal."""
 
 from functools import singledispatchmethod
 from heapq import heapify, heappop, heappush
@@ -15,7 +15,7 @@
     Finished,
     Refuse,
 )
-from lovageshunt.admission._levels import is_refused, order_of
+from lovageshunt.admission._levels import dispatch_order, is_refused
 from lovageshunt.admission._queue import WaitingCall, WaitingQueue
 from lovageshunt.admission._running import RunningCalls
 from lovageshunt.admission._settings import AdmissionSettings
@@ -23,16 +23,19 @@
 from lovageshunt.errors import DuplicateCallError
 
 _MS_PER_SECOND: Final = 1000
-#: Deadlines remembered beyond those of twice the calls present.
-_MOST_DEADLINES: Final = 1000
+#: Deadline entries kept beyond twice the number of calls present before the
+#: entries of ended calls are purged.
+_MAX_EXCESS_DEADLINES: Final = 1000
 
 
 class Admission:
     """Admits the calls to one target.
 
-    Every ``Arrived`` is answered by exactly one ``Dispatch`` or ``Refuse``,
-    unless its caller cancels it while it waits. Every ``Dispatch`` must be
-    followed by one ``Finished``, also after an ``Abort``.
+    Every ``Arrived`` leads to exactly one ``Dispatch`` or ``Refuse``, unless
+    its caller cancels it while it waits. Every ``Dispatch`` must be followed
+    by one ``Finished``, also after an ``Abort``.
+
+    The limit starts at the published slots, the threshold open.
     """
 
     __slots__ = (
@@ -46,7 +49,6 @@
     )
 
     def __init__(self, settings: AdmissionSettings, now: float) -> None:
-        """Start calm, with the published slots as the limit."""
         self._settings = settings
         self._control = TargetControl(settings, now)
         self._queue = WaitingQueue()
@@ -62,12 +64,12 @@
 
     @property
     def is_drained(self) -> bool:
-        """Tell whether a drain was started and nothing is left."""
+        """Return whether a drain was started and no calls remain."""
         is_idle = not self._running and not self._queue
         return self._drain_ends_at is not None and is_idle
 
     def load(self) -> LoadReport:
-        """Return the load for the next answer."""
+        """Return the load to report with the next answer."""
         return LoadReport(
             running=len(self._running),
             waiting=len(self._queue),
@@ -83,7 +85,11 @@
         return due
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take an event and return what is to be done, in order."""
+        """Handle an event and return the actions to carry out, in order.
+
+        Raises ``DuplicateCallError`` if a call arrives under the id of one
+        that waits or runs.
+        """
         self._now = max(self._now, now)
         actions: list[Action] = []
         self._control.advance(
@@ -91,44 +97,45 @@
             running=len(self._running),
             waiting=len(self._queue),
         )
-        # The event goes first: what it ends must not be ended twice.
-        self._take(event, actions)
+        # The event is handled first, so that a call that it ends does not
+        # expire as well.
+        self._handle_event(event, actions)
         self._expire(actions)
-        self._fill(actions)
+        self._dispatch_waiting(actions)
         return actions
 
     @singledispatchmethod
-    def _take(self, event: Event, actions: list[Action]) -> None:
-        """Take no more from an event than that time has passed.
+    def _handle_event(self, event: Event, actions: list[Action]) -> None:
+        """Ignore an event that has no handler of its own.
 
-        A load report is such an event: latency and refusals are seen here,
-        the report is only said, and late.
+        ``LoadReported`` is one: latency and refusals are observed here
+        directly, whereas the report lags and may be wrong.
         """
 
-    @_take.register
-    def _arrived(self, event: Arrived, actions: list[Action]) -> None:
+    @_handle_event.register
+    def _on_arrived(self, event: Arrived, actions: list[Action]) -> None:
         if event.call_id in self._queue or event.call_id in self._running:
             raise DuplicateCallError(event.call_id)
         self._control.record_arrival(event.level)
         call = WaitingCall(
             call_id=event.call_id,
             level=event.level,
-            order=order_of(event.level, self._settings.floor_ranks),
+            order=dispatch_order(event.level, self._settings.floor_ranks),
             arrived_at=self._now,
             deadline=event.deadline,
         )
-        reason = self._reason_against(call)
+        reason = self._refusal_reason(call)
         if reason is not None:
             actions.append(self._refusal(call, reason))
             return
         self._queue.add(call)
-        self._remember_deadline(call)
-        if len(self._queue) > self._settings.most_waiting:
+        self._track_deadline(call)
+        if len(self._queue) > self._settings.max_waiting:
             last = self._queue.remove(self._queue.last().call_id)
             actions.append(self._refusal(last, RefusalReason.QUEUE_FULL))
 
-    @_take.register
-    def _finished(self, event: Finished, actions: list[Action]) -> None:
+    @_handle_event.register
+    def _on_finished(self, event: Finished, actions: list[Action]) -> None:
         call = self._running.finish(event.call_id)
         if call is None:
             return
@@ -139,15 +146,15 @@
             was_shed=event.was_shed,
         )
 
-    @_take.register
-    def _cancelled(self, event: Cancelled, actions: list[Action]) -> None:
+    @_handle_event.register
+    def _on_cancelled(self, event: Cancelled, actions: list[Action]) -> None:
         if event.call_id in self._queue:
             self._queue.remove(event.call_id)
             return
         actions.extend(self._running.abort(event.call_id))
 
-    @_take.register
-    def _drain_started(
+    @_handle_event.register
+    def _on_drain_started(
         self,
         event: DrainStarted,
         actions: list[Action],
@@ -158,11 +165,12 @@
             self._queue.remove(call.call_id)
             actions.append(self._refusal(call, RefusalReason.LEAVING))
 
-    def _remember_deadline(self, call: WaitingCall) -> None:
+    def _track_deadline(self, call: WaitingCall) -> None:
         heappush(self._deadlines, (call.deadline, call.call_id))
         present = len(self._queue) + len(self._running)
-        if len(self._deadlines) > _MOST_DEADLINES + 2 * present:
-            # Far deadlines of calls that ended long ago would pile up.
+        if len(self._deadlines) > _MAX_EXCESS_DEADLINES + 2 * present:
+            # Entries with distant deadlines of calls that have ended would
+            # accumulate.
             self._deadlines = [
                 entry
                 for entry in self._deadlines
@@ -170,7 +178,7 @@
             ]
             heapify(self._deadlines)
 
-    def _reason_against(self, call: WaitingCall) -> RefusalReason | None:
+    def _refusal_reason(self, call: WaitingCall) -> RefusalReason | None:
         if self._drain_ends_at is not None:
             return RefusalReason.LEAVING
         floor = self._settings.floor_ranks
@@ -182,16 +190,17 @@
 
     def _can_finish(self, call: WaitingCall) -> bool:
         if not self._running:
-            # The estimate may be stale, and only a call can tell.
+            # The service time may be outdated, and only a call that runs
+            # can update it.
             return self._now < call.deadline
-        finish = self._control.finish_time(
+        finish = self._control.estimated_finish(
             self._now,
             running=len(self._running),
             ahead=self._queue.ahead_of(call),
         )
         return finish <= call.deadline
 
-    def _fill(self, actions: list[Action]) -> None:
+    def _dispatch_waiting(self, actions: list[Action]) -> None:
         while self._queue and len(self._running) < self._control.slots:
             call = self._queue.remove(self._queue.first().call_id)
             if not self._can_finish(call):
@@ -209,10 +218,10 @@
     def _expire(self, actions: list[Action]) -> None:
         while self._deadlines and self._deadlines[0][0] <= self._now:
             call_id = heappop(self._deadlines)[1]
-            if self._queue.is_late(call_id, self._now):
+            if self._queue.is_overdue(call_id, self._now):
                 call = self._queue.remove(call_id)
                 actions.append(self._refusal(call, RefusalReason.DEADLINE))
-            if self._running.is_late(call_id, self._now):
+            if self._running.is_overdue(call_id, self._now):
                 actions.extend(self._running.abort(call_id))
         if self._drain_ends_at is not None and self._now >= self._drain_ends_at:
             actions.extend(self._running.abort_all())
--- a/src/lovageshunt/admission/_events.py
+++ b/src/lovageshunt/admission/_events.py
@@ -1,4 +1,4 @@
-"""What admission is told and what it asks for."""
+"""The events that admission handles and the actions that it returns."""
 
 from typing import TypeAlias
 
@@ -7,10 +7,11 @@
 
 
 class Arrived(Record):
-    """A call reached the node; ``deadline`` is on the node's own clock.
+    """A call reached the node.
 
-    ``queue_deadline`` is how long it may wait for a slot, its deadline if that
-    is not given.
+    ``call_id`` is unique among the calls present. ``deadline`` is in seconds
+    on the node's own clock. ``queue_deadline`` is the time until which the
+    call may wait for a slot; it defaults to ``deadline``.
     """
 
     __slots__ = ('call_id', 'level', 'deadline', 'queue_deadline')
@@ -23,7 +24,6 @@
         deadline: float,
         queue_deadline: float | None = None,
     ) -> None:
-        """Name the call; the id is unique among calls here."""
         self.call_id = call_id
         self.level = level
         self.deadline = deadline
@@ -40,7 +40,7 @@
 
 
 class Finished(Record):
-    """A dispatched call left its target; an aborted one too.
+    """A dispatched call left its target, also after an abort.
 
     ``was_complete`` is false when no complete answer arrived, whatever the
     cause; the call's duration is then no valid sample. ``was_shed`` is true
@@ -57,37 +57,39 @@
         was_complete: bool,
         was_shed: bool = False,
     ) -> None:
-        """Say how the call ended."""
         self.call_id = call_id
         self.was_complete = was_complete
         self.was_shed = was_shed
 
 
 class Cancelled(_CallRecord):
-    """The caller of a waiting or running call is gone."""
+    """The caller of a waiting or running call has disconnected."""
 
     __slots__ = ()
 
 
 class Ticked(Record):
-    """Time has passed."""
+    """Time has passed; deadlines and the control window are checked."""
 
     __slots__ = ()
 
 
 class LoadReported(Record):
-    """The target's own load endpoint answered; it lags and may mislead."""
+    """The target's own load endpoint answered; the report lags.
+
+    ``running`` counts the calls in the target, ``slots`` is its own number
+    of slots. Either may be wrong.
+    """
 
     __slots__ = ('running', 'slots')
 
     def __init__(self, *, running: int, slots: int) -> None:
-        """Take the calls that run in the target and its own slots."""
         self.running = running
         self.slots = slots
 
 
 class DrainStarted(Record):
-    """The target is leaving."""
+    """The target is shutting down."""
 
     __slots__ = ()
 
@@ -99,7 +101,10 @@
 
 
 class Refuse(Record):
-    """Answer that the call was not run and when to come back."""
+    """Answer that the call was not run.
+
+    ``retry_after_ms`` is the delay after which the caller may retry.
+    """
 
     __slots__ = ('call_id', 'reason', 'retry_after_ms')
 
@@ -110,7 +115,6 @@
         reason: RefusalReason,
         retry_after_ms: int,
     ) -> None:
-        """Name the call, the reason and the wait."""
         self.call_id = call_id
         self.reason = reason
         self.retry_after_ms = retry_after_ms
@@ -119,7 +123,8 @@
 class Abort(_CallRecord):
     """Cancel the running call at its target.
 
-    It holds its slot until ``Finished`` says that the target let go of it.
+    The call holds its slot until ``Finished`` reports that the target has
+    released it.
     """
 
     __slots__ = ()
--- a/src/lovageshunt/admission/_queue.py
+++ b/src/lovageshunt/admission/_queue.py
@@ -1,4 +1,4 @@
-"""The calls that wait for a slot, in the order of dispatch."""
+"""The calls that wait for a slot, in dispatch order."""
 
 from bisect import bisect_left, insort
 
@@ -6,7 +6,11 @@
 
 
 class WaitingCall(Record):
-    """A call in the queue."""
+    """A queued call.
+
+    ``order`` is the first sort key of the queue, lowest first. ``arrived_at``
+    and ``deadline`` are in seconds on the node's clock.
+    """
 
     __slots__ = ('call_id', 'level', 'order', 'arrived_at', 'deadline')
 
@@ -19,7 +23,6 @@
         arrived_at: float,
         deadline: float,
     ) -> None:
-        """Take every field by name."""
         self.call_id = call_id
         self.level = level
         self.order = order
@@ -27,57 +30,54 @@
         self.deadline = deadline
 
     @property
-    def place(self) -> tuple[int, float, str]:
-        """Sort by order, then by the nearest deadline."""
+    def sort_key(self) -> tuple[int, float, str]:
+        """Return order, deadline and call id; the id makes keys unique."""
         return self.order, self.deadline, self.call_id
 
 
 class WaitingQueue:
-    """Waiting calls by order, then by deadline."""
+    """Waiting calls sorted by order, then by deadline."""
 
-    __slots__ = ('_by_call_id', '_places')
+    __slots__ = ('_by_call_id', '_sort_keys')
 
     def __init__(self) -> None:
-        """Start empty."""
         self._by_call_id: dict[str, WaitingCall] = {}
-        self._places: list[tuple[int, float, str]] = []
+        self._sort_keys: list[tuple[int, float, str]] = []
 
     def __len__(self) -> int:
-        """Count the waiting calls."""
-        return len(self._places)
+        return len(self._sort_keys)
 
     def __contains__(self, call_id: str) -> bool:
-        """Tell whether a call waits."""
         return call_id in self._by_call_id
 
     def ahead_of(self, call: WaitingCall) -> int:
-        """Count the calls that would be dispatched before this one."""
-        return bisect_left(self._places, call.place)
+        """Return how many calls would be dispatched before this one."""
+        return bisect_left(self._sort_keys, call.sort_key)
 
     def add(self, call: WaitingCall) -> None:
-        """Let a call wait."""
+        """Insert a call at its place in the dispatch order."""
         self._by_call_id[call.call_id] = call
-        insort(self._places, call.place)
+        insort(self._sort_keys, call.sort_key)
 
     def remove(self, call_id: str) -> WaitingCall:
-        """Take a call out."""
+        """Remove and return a call; raise ``KeyError`` if it is not queued."""
         call = self._by_call_id.pop(call_id)
-        self._places.pop(bisect_left(self._places, call.place))
+        self._sort_keys.pop(bisect_left(self._sort_keys, call.sort_key))
         return call
 
-    def is_late(self, call_id: str, now: float) -> bool:
-        """Tell whether a waiting call is past its deadline."""
+    def is_overdue(self, call_id: str, now: float) -> bool:
+        """Return whether a call is queued and past its deadline."""
         call = self._by_call_id.get(call_id)
         return call is not None and call.deadline <= now
 
     def first(self) -> WaitingCall:
         """Return the call to dispatch next."""
-        return self._by_call_id[self._places[0][-1]]
+        return self._by_call_id[self._sort_keys[0][-1]]
 
     def last(self) -> WaitingCall:
-        """Return the call to give up first."""
-        return self._by_call_id[self._places[-1][-1]]
+        """Return the call to refuse first when the queue is full."""
+        return self._by_call_id[self._sort_keys[-1][-1]]
 
     def ordered(self) -> list[WaitingCall]:
-        """Return the waiting calls in the order of dispatch."""
-        return [self._by_call_id[place[-1]] for place in self._places]
+        """Return the waiting calls in dispatch order."""
+        return [self._by_call_id[sort_key[-1]] for sort_key in self._sort_keys]
--- a/src/lovageshunt/admission/_running.py
+++ b/src/lovageshunt/admission/_running.py
@@ -5,12 +5,15 @@
 
 
 class RunningCall(Record):
-    """A call that was dispatched and has not finished."""
+    """A call that was dispatched and has not finished.
+
+    ``started_at``, the time of dispatch, and ``deadline`` are in seconds on
+    the node's clock.
+    """
 
     __slots__ = ('started_at', 'deadline', 'is_aborted')
 
     def __init__(self, *, started_at: float, deadline: float) -> None:
-        """Take the time of dispatch and the time by which it must end."""
         self.started_at = started_at
         self.deadline = deadline
         self.is_aborted = False
@@ -22,35 +25,35 @@
     __slots__ = ('_by_call_id',)
 
     def __init__(self) -> None:
-        """Start empty."""
         self._by_call_id: dict[str, RunningCall] = {}
 
     def __len__(self) -> int:
-        """Count the slots held."""
         return len(self._by_call_id)
 
     def __contains__(self, call_id: str) -> bool:
-        """Tell whether a call holds a slot."""
         return call_id in self._by_call_id
 
     def start(self, call_id: str, *, now: float, deadline: float) -> None:
-        """Take a slot."""
+        """Allocate a slot to a call that is dispatched now."""
         self._by_call_id[call_id] = RunningCall(
             started_at=now,
             deadline=deadline,
         )
 
-    def is_late(self, call_id: str, now: float) -> bool:
-        """Tell whether a running call is past its deadline."""
+    def is_overdue(self, call_id: str, now: float) -> bool:
+        """Return whether a call is running and past its deadline."""
         call = self._by_call_id.get(call_id)
         return call is not None and call.deadline <= now
 
     def finish(self, call_id: str) -> RunningCall | None:
-        """Give the slot back; nothing if the call holds none."""
+        """Release the call's slot; return ``None`` if it holds none."""
         return self._by_call_id.pop(call_id, None)
 
     def abort(self, call_id: str) -> list[Abort]:
-        """Mark a call as aborted; the slot stays held. Once only."""
+        """Mark a call as aborted; it keeps its slot until it finishes.
+
+        Returns no action if the call does not run or was aborted before.
+        """
         call = self._by_call_id.get(call_id)
         if call is None or call.is_aborted:
             return []
--- a/src/lovageshunt/admission/_settings.py
+++ b/src/lovageshunt/admission/_settings.py
@@ -1,32 +1,36 @@
-"""Settings of admission beside a target and of the caller's memory."""
+"""Settings of admission at a target and of thresholds kept by a caller."""
 
 from lovageshunt._record import Record
 
 
 class AdmissionSettings(Record):
-    """How one target is protected.
+    """Limits and control parameters of the admission to one target.
 
-    ``slots`` is what the platform publishes for the target and may be wrong;
-    the limit on running calls stays between ``least_share`` and
-    ``max_limit_share`` of it. The threshold aims at a queue time of one time of
-    service, but at least ``queue_target_seconds`` and at most
-    ``most_queue_target_seconds``. ``window_seconds`` is the period of control,
-    ``most_waiting`` the bound of the queue, ``floor_ranks`` the ranks of each
-    importance that the threshold never refuses. ``drain_seconds`` is the
-    time after which a drain aborts what still runs.
+    ``slots`` is the concurrency that the platform publishes for the target
+    and may be wrong; the concurrency limit stays between ``min_limit_share``
+    and ``max_limit_share`` of it. The threshold controller aims at a queue
+    time of one service time, bounded by ``queue_target_seconds`` from below
+    and ``max_queue_target_seconds`` from above. ``window_seconds`` is the
+    control period and ``max_waiting`` the queue capacity in calls.
+    ``floor_ranks`` is how many ranks of each importance the threshold never
+    refuses. The mean retry delay of a refused call is ``retry_after_seconds``
+    times the ratio of demand to capacity, at most
+    ``max_retry_after_seconds``. ``drain_seconds`` is how long a drain waits
+    before it aborts the calls still running. ``service_seconds`` is the
+    service time assumed until calls have finished.
     """
 
     __slots__ = (
         'slots',
         'queue_target_seconds',
-        'most_queue_target_seconds',
+        'max_queue_target_seconds',
         'window_seconds',
-        'most_waiting',
+        'max_waiting',
         'floor_ranks',
-        'least_share',
+        'min_limit_share',
         'max_limit_share',
         'retry_after_seconds',
-        'most_retry_after_seconds',
+        'max_retry_after_seconds',
         'drain_seconds',
         'service_seconds',
     )
@@ -36,41 +40,43 @@
         *,
         slots: int,
         queue_target_seconds: float = 0.02,
-        most_queue_target_seconds: float = 0.25,
+        max_queue_target_seconds: float = 0.25,
         window_seconds: float = 0.1,
-        most_waiting: int = 1000,
+        max_waiting: int = 1000,
         floor_ranks: int = 328,
-        least_share: float = 0.1,
+        min_limit_share: float = 0.1,
         max_limit_share: float = 2,
         retry_after_seconds: float = 0.25,
-        most_retry_after_seconds: float = 10,
+        max_retry_after_seconds: float = 10,
         drain_seconds: float = 30,
         service_seconds: float = 0.02,
     ) -> None:
-        """Take the published slots; the rest has defaults."""
         self.slots = slots
         self.queue_target_seconds = queue_target_seconds
-        self.most_queue_target_seconds = most_queue_target_seconds
+        self.max_queue_target_seconds = max_queue_target_seconds
         self.window_seconds = window_seconds
-        self.most_waiting = most_waiting
+        self.max_waiting = max_waiting
         self.floor_ranks = floor_ranks
-        self.least_share = least_share
+        self.min_limit_share = min_limit_share
         self.max_limit_share = max_limit_share
         self.retry_after_seconds = retry_after_seconds
-        self.most_retry_after_seconds = most_retry_after_seconds
+        self.max_retry_after_seconds = max_retry_after_seconds
         self.drain_seconds = drain_seconds
         self.service_seconds = service_seconds
 
 
 class CallerSettings(Record):
-    """How a caller keeps the thresholds that answers told it.
+    """How a caller ages the thresholds reported in answers.
 
-    A threshold holds for ``hold_seconds`` after it was last heard. Then it
-    rises by ``probe_ranks`` and twice as many each ``doubling_seconds``, so
-    that a silent service is tried again, a few ranks first. ``memory_seconds``
-    is how long the services that a kind of request needs are remembered,
-    ``news_seconds`` how long a service that refuses no more is still told of,
-    ``most_kinds`` how many kinds are remembered.
+    A threshold holds for ``hold_seconds`` after it was last reported. Then
+    it rises by ``probe_ranks``, doubled every ``doubling_seconds``, so that a
+    service that stopped reporting is probed again, with a few ranks first.
+    ``smoothing`` is the weight of one reported threshold in the estimate.
+    ``floor_ranks`` is how many ranks of each importance are never refused,
+    ``retry_after_seconds`` the base retry delay. The services that a kind of
+    request depends on are kept for ``dependency_ttl_seconds``, for at most
+    ``max_kinds`` kinds. ``advertise_seconds`` is how long the threshold of a
+    service is still advertised after it last refused levels.
     """
 
     __slots__ = (
@@ -80,9 +86,9 @@
         'smoothing',
         'floor_ranks',
         'retry_after_seconds',
-        'memory_seconds',
-        'news_seconds',
-        'most_kinds',
+        'dependency_ttl_seconds',
+        'advertise_seconds',
+        'max_kinds',
     )
 
     def __init__(
@@ -94,17 +100,16 @@
         smoothing: float = 0.3,
         floor_ranks: int = 328,
         retry_after_seconds: float = 0.5,
-        memory_seconds: float = 30,
-        news_seconds: float = 5,
-        most_kinds: int = 1000,
+        dependency_ttl_seconds: float = 30,
+        advertise_seconds: float = 5,
+        max_kinds: int = 1000,
     ) -> None:
-        """Take every setting by name; all have defaults."""
         self.hold_seconds = hold_seconds
         self.probe_ranks = probe_ranks
         self.doubling_seconds = doubling_seconds
         self.smoothing = smoothing
         self.floor_ranks = floor_ranks
         self.retry_after_seconds = retry_after_seconds
-        self.memory_seconds = memory_seconds
-        self.news_seconds = news_seconds
-        self.most_kinds = most_kinds
+        self.dependency_ttl_seconds = dependency_ttl_seconds
+        self.advertise_seconds = advertise_seconds
+        self.max_kinds = max_kinds
--- a/src/lovageshunt/admission/_target_queue.py
+++ b/src/lovageshunt/admission/_target_queue.py
@@ -1,9 +1,10 @@
-"""Which calls run in a target whose callers tell no root request.
+"""Admission to a target whose callers do not identify the root request.
 
-The calls of a target carry no word of the request above them, so no hop can
-give one request the same verdict everywhere. Here work that is already under
-way goes first, then the more important, then the nearer deadline; a call is
-refused only when it could not end in time.
+Calls made by a target carry no reference to the request above them, so the
+hops cannot refuse the same requests by rank. Instead, calls that belong to
+work in progress are dispatched first, then the more important ones, then
+those with the nearer deadline. A call is refused if it could not finish
+before its deadline.
 """
 
 from functools import singledispatchmethod
@@ -28,60 +29,63 @@
 
 #: Weight of one call in the mean service time.
 _SERVICE_WEIGHT: Final = 0.05
-#: The service time assumed before the first call ended, in seconds.
-_FIRST_SERVICE_SECONDS: Final = 0.05
-#: The share of its slots that is left free: targets slow down when they are
-#: nearly full, and a full one refuses what its node has let through.
-_SPARE_SHARE: Final = 0.05
+#: The service time assumed until the first call has finished.
+_INITIAL_SERVICE_SECONDS: Final = 0.05
+#: The share of the slots that is kept free: targets slow down when they are
+#: nearly full, and a full one refuses calls that its node has admitted.
+_RESERVED_SHARE: Final = 0.05
 _MS_PER_SECOND: Final = 1000
 
 
 class TargetQueue:
     """Queues the calls to one target by importance, then by deadline.
 
-    Every ``Arrived`` is answered by exactly one ``Dispatch`` or ``Refuse``,
-    unless its caller cancels it while it waits. Every ``Dispatch`` must be
-    followed by one ``Finished``, also after an ``Abort``.
+    Every ``Arrived`` leads to exactly one ``Dispatch`` or ``Refuse``, unless
+    its caller cancels it while it waits. Every ``Dispatch`` must be followed
+    by one ``Finished``, also after an ``Abort``.
+
+    ``slots`` is the published concurrency of the target, replaced by what the
+    target reports; ``max_waiting`` bounds the queue, in calls.
     """
 
     __slots__ = (
         '_slots',
-        '_most_waiting',
+        '_max_waiting',
         '_queue',
         '_running',
-        '_deadlines',
+        '_queue_deadlines',
         '_service_seconds',
         '_is_draining',
     )
 
-    def __init__(self, *, slots: int, most_waiting: int = 2000) -> None:
-        """Begin with the published slots."""
+    def __init__(self, *, slots: int, max_waiting: int = 2000) -> None:
         self._slots = slots
-        self._most_waiting = most_waiting
+        self._max_waiting = max_waiting
         self._queue = WaitingQueue()
         self._running = RunningCalls()
-        #: When calls stop waiting; those that left the queue stay in it.
-        self._deadlines: list[tuple[float, str]] = []
-        self._service_seconds = _FIRST_SERVICE_SECONDS
+        #: A heap; entries of calls that have left the queue are skipped when
+        #: they become due.
+        self._queue_deadlines: list[tuple[float, str]] = []
+        self._service_seconds = _INITIAL_SERVICE_SECONDS
         self._is_draining = False
 
     @property
     def limit(self) -> int:
-        """Return how many calls may be at the target at once."""
-        return max(1, int(self._slots * (1 - _SPARE_SHARE)))
+        """Return how many calls may run in the target at once."""
+        return max(1, int(self._slots * (1 - _RESERVED_SHARE)))
 
     @property
     def running_count(self) -> int:
-        """Return how many calls are at the target."""
+        """Return how many calls run in the target."""
         return len(self._running)
 
     @property
     def backlog_slot_seconds(self) -> float:
-        """Return the work that waits, in seconds of one slot."""
+        """Return the expected work of the waiting calls in slot-seconds."""
         return len(self._queue) * self._service_seconds
 
     def load(self) -> LoadReport:
-        """Return the load for the next answer."""
+        """Return the load to report with the next answer."""
         return LoadReport(
             running=self.running_count,
             waiting=len(self._queue),
@@ -91,22 +95,28 @@
 
     def next_wake(self) -> float | None:
         """Return the time by which ``Ticked`` is due, if any."""
-        return self._deadlines[0][0] if self._deadlines else None
+        return self._queue_deadlines[0][0] if self._queue_deadlines else None
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Take an event and return what is to be done, in order."""
+        """Handle an event and return the actions to carry out, in order.
+
+        Raises ``DuplicateCallError`` if a call arrives under the id of one
+        that waits or runs.
+        """
         actions: list[Action] = []
-        self._take(event, actions, now)
+        self._handle_event(event, actions, now)
         self._expire(actions, now)
-        self._fill(actions, now)
+        self._dispatch_waiting(actions, now)
         return actions
 
     @singledispatchmethod
-    def _take(self, event: Event, actions: list[Action], now: float) -> None:
-        """Take no more from an event than that time has passed."""
+    def _handle_event(
+        self, event: Event, actions: list[Action], now: float
+    ) -> None:
+        """Ignore an event that has no handler of its own, as ``Ticked``."""
 
-    @_take.register
-    def _arrived(
+    @_handle_event.register
+    def _on_arrived(
         self,
         event: Arrived,
         actions: list[Action],
@@ -128,13 +138,13 @@
             actions.append(self._refusal(call, RefusalReason.OVERLOAD))
             return
         self._queue.add(call)
-        heappush(self._deadlines, (event.queue_deadline, call.call_id))
-        if len(self._queue) > self._most_waiting:
+        heappush(self._queue_deadlines, (event.queue_deadline, call.call_id))
+        if len(self._queue) > self._max_waiting:
             last = self._queue.remove(self._queue.last().call_id)
             actions.append(self._refusal(last, RefusalReason.QUEUE_FULL))
 
-    @_take.register
-    def _finished(
+    @_handle_event.register
+    def _on_finished(
         self,
         event: Finished,
         actions: list[Action],
@@ -144,12 +154,13 @@
         if call is None or event.was_shed:
             return
         seconds = now - call.started_at
+        # A call without a complete answer would have taken longer still.
         if event.was_complete or seconds > self._service_seconds:
             change = _SERVICE_WEIGHT * (seconds - self._service_seconds)
             self._service_seconds += change
 
-    @_take.register
-    def _cancelled(
+    @_handle_event.register
+    def _on_cancelled(
         self,
         event: Cancelled,
         actions: list[Action],
@@ -160,8 +171,8 @@
             return
         actions.extend(self._running.abort(event.call_id))
 
-    @_take.register
-    def _load_reported(
+    @_handle_event.register
+    def _on_load_reported(
         self,
         event: LoadReported,
         actions: list[Action],
@@ -170,8 +181,8 @@
         if event.slots > 0:
             self._slots = event.slots
 
-    @_take.register
-    def _drain_started(
+    @_handle_event.register
+    def _on_drain_started(
         self,
         event: DrainStarted,
         actions: list[Action],
@@ -195,7 +206,7 @@
         ends_at = starts_at + self._service_seconds
         return starts_at <= queue_deadline and ends_at <= call.deadline
 
-    def _fill(self, actions: list[Action], now: float) -> None:
+    def _dispatch_waiting(self, actions: list[Action], now: float) -> None:
         while self._queue and len(self._running) < self.limit:
             call = self._queue.remove(self._queue.first().call_id)
             self._running.start(
@@ -206,8 +217,8 @@
             actions.append(Dispatch(call.call_id))
 
     def _expire(self, actions: list[Action], now: float) -> None:
-        while self._deadlines and self._deadlines[0][0] <= now:
-            call_id = heappop(self._deadlines)[1]
+        while self._queue_deadlines and self._queue_deadlines[0][0] <= now:
+            call_id = heappop(self._queue_deadlines)[1]
             if call_id in self._queue:
                 call = self._queue.remove(call_id)
                 actions.append(self._refusal(call, RefusalReason.DEADLINE))
--- a/src/lovageshunt/admission/_threshold.py
+++ b/src/lovageshunt/admission/_threshold.py
@@ -1,4 +1,4 @@
-"""The threshold over levels, steered by queue time and demand."""
+"""The threshold over levels, controlled by queue time and demand."""
 
 from typing import Final
 
@@ -6,47 +6,52 @@
 from lovageshunt.admission._settings import AdmissionSettings
 from lovageshunt.calls import LOWEST_IMPORTANCE, RANK_COUNT
 
-#: How far a window's count may stray by chance, in standard deviations.
-_SURPRISE: Final = 3
-#: Weight of a window that is no surprise, and of one that is.
-_CALM_WEIGHT: Final = 0.1
-_SURPRISE_WEIGHT: Final = 0.5
-#: The least visible share of an importance whose counts may surprise.
-_LEAST_VISIBLE: Final = 0.05
+#: Standard deviations by which a window's rate may differ from the estimate
+#: by chance; beyond them it is an outlier.
+_OUTLIER_DEVIATIONS: Final = 3
+#: Weight of a window in the estimate, and that of an outlier.
+_NORMAL_WEIGHT: Final = 0.1
+_OUTLIER_WEIGHT: Final = 0.5
+#: The visible share of an importance below which no window is an outlier.
+_MIN_VISIBLE_SHARE: Final = 0.05
 #: The largest rise of admitted demand in one window, as a share of capacity.
-_RISE: Final = 0.1
+_MAX_RISE_SHARE: Final = 0.1
 #: Windows in which a queue that is off its target is brought back to it.
 _CORRECTION_WINDOWS: Final = 3
-#: Importances in the order of refusal, the last refused first.
+#: From the importance that is refused last to the one refused first.
 _IMPORTANCES: Final = range(LOWEST_IMPORTANCE + 1)
 
 
-class DemandMeter:
-    """Estimates the calls a second that each importance would send.
+class ImportanceDemand:
+    """Estimates the demand of each importance, in calls per second.
 
-    Ranks are hashes and so spread evenly; when callers hold calls back by
-    the threshold, the ranks still seen tell of the ranks unseen. At the
-    least these are the ranks of the floor.
+    Ranks are hashes and therefore evenly distributed: when callers hold calls
+    back by the threshold, the demand of the ranks not seen follows from that
+    of the ranks still seen, which are at least those of the floor.
     """
 
-    __slots__ = ('_floor_ranks', '_passing', '_all', 'by_importance')
+    __slots__ = (
+        '_floor_ranks',
+        '_admitted_counts',
+        '_arrival_counts',
+        'by_importance',
+    )
 
     def __init__(self, floor_ranks: int) -> None:
-        """Start with no demand."""
         self._floor_ranks = floor_ranks
-        self._passing = dict.fromkeys(_IMPORTANCES, 0)
-        self._all = dict.fromkeys(_IMPORTANCES, 0)
+        self._admitted_counts = dict.fromkeys(_IMPORTANCES, 0)
+        self._arrival_counts = dict.fromkeys(_IMPORTANCES, 0)
         self.by_importance: dict[int, float] = dict.fromkeys(_IMPORTANCES, 0)
 
     def record(self, level: int, threshold: int) -> None:
-        """Count an arrival."""
+        """Count an arrival while ``threshold`` is in force."""
         importance = min(level // RANK_COUNT, LOWEST_IMPORTANCE)
-        self._all[importance] += 1
+        self._arrival_counts[importance] += 1
         if not is_refused(level, threshold, self._floor_ranks):
-            self._passing[importance] += 1
+            self._admitted_counts[importance] += 1
 
     def close_window(self, threshold: int, seconds: float) -> None:
-        """Turn the counts of a window into rates."""
+        """Update the rates from the counts of a window and reset these."""
         for importance in _IMPORTANCES:
             visible = max(
                 _share_below(importance, threshold),
@@ -56,26 +61,26 @@
         self.skip_window()
 
     def skip_window(self) -> None:
-        """Forget the counts of a window."""
-        self._passing = dict.fromkeys(_IMPORTANCES, 0)
-        self._all = dict.fromkeys(_IMPORTANCES, 0)
+        """Reset the counts of a window without using them."""
+        self._admitted_counts = dict.fromkeys(_IMPORTANCES, 0)
+        self._arrival_counts = dict.fromkeys(_IMPORTANCES, 0)
 
     @property
     def total(self) -> float:
-        """Return the calls a second of all importances."""
+        """Return the demand of all importances in calls per second."""
         return sum(self.by_importance.values())
 
     def below(self, threshold: int) -> float:
-        """Return the calls a second that a threshold lets through."""
+        """Return the demand below a threshold in calls per second."""
         return sum(
             rate * _share_below(importance, threshold)
             for importance, rate in self.by_importance.items()
         )
 
     def _update(self, importance: int, visible: float, seconds: float) -> None:
-        calls = float(self._all[importance])
+        calls = float(self._arrival_counts[importance])
         if visible > 0:
-            calls = max(calls, self._passing[importance] / visible)
+            calls = max(calls, self._admitted_counts[importance] / visible)
         self.by_importance[importance] = _smoothed(
             self.by_importance[importance],
             calls / seconds,
@@ -85,24 +90,26 @@
 
 
 class ThresholdController:
-    """Finds the threshold under which demand meets capacity."""
+    """Finds the threshold at which admitted demand meets capacity.
+
+    ``threshold`` is the one in force; it starts open.
+    """
 
     __slots__ = ('_settings', '_demand', '_capacity', 'threshold')
 
     def __init__(self, settings: AdmissionSettings) -> None:
-        """Start open."""
         self._settings = settings
-        self._demand = DemandMeter(settings.floor_ranks)
+        self._demand = ImportanceDemand(settings.floor_ranks)
         self._capacity = settings.slots / settings.service_seconds
         self.threshold = OPEN_THRESHOLD
 
     @property
     def pressure(self) -> float:
-        """Return demand over capacity, at least 1."""
+        """Return the ratio of demand to capacity, at least 1."""
         return max(1, self._demand.total / max(1, self._capacity))
 
     def record(self, level: int) -> None:
-        """Count an arrival."""
+        """Count an arrival towards the demand of its importance."""
         self._demand.record(level, self.threshold)
 
     def close_window(
@@ -113,32 +120,32 @@
         waiting: int,
         seconds: float,
     ) -> None:
-        """Move the threshold by what a window showed.
+        """Update the threshold at the end of a window of ``seconds``.
 
-        ``capacity`` is in calls a second, ``queue_seconds`` the queue time
-        aimed at, ``waiting`` counts the queue.
+        ``capacity`` is in calls per second, ``queue_seconds`` is the target
+        queue time, ``waiting`` the number of queued calls.
         """
         self._capacity = _smoothed(self._capacity, capacity, seconds=seconds)
         self._demand.close_window(self.threshold, seconds)
-        wanted = self._capacity * queue_seconds
+        target_waiting = self._capacity * queue_seconds
         horizon = seconds * _CORRECTION_WINDOWS
-        room = self._capacity + (wanted - waiting) / horizon
-        passing = self._demand.below(self.threshold)
+        admissible = self._capacity + (target_waiting - waiting) / horizon
+        admitted = self._demand.below(self.threshold)
         self.threshold = self._threshold_for(
-            min(room, passing + self._capacity * _RISE),
+            min(admissible, admitted + self._capacity * _MAX_RISE_SHARE),
         )
 
     def skip_window(self) -> None:
-        """Learn nothing from a window."""
+        """Discard the counts of a window."""
         self._demand.skip_window()
 
-    def _threshold_for(self, room: float) -> int:
+    def _threshold_for(self, admissible: float) -> int:
         for importance in _IMPORTANCES:
             rate = self._demand.by_importance[importance]
-            if rate > max(0, room):
-                share = max(0, room) / rate
+            if rate > max(0, admissible):
+                share = max(0, admissible) / rate
                 return int((importance + share) * RANK_COUNT)
-            room -= rate
+            admissible -= rate
         return OPEN_THRESHOLD
 
 
@@ -154,13 +161,16 @@
     seconds: float,
     visible: float = 1,
 ) -> float:
-    """Return the new estimate of a rate after a window.
+    """Return the new estimate of a rate after a window of ``seconds``.
 
-    Chance moves it little and a surprise much; where only few ranks are
-    visible, a window says little.
+    An outlier gets more weight than a difference that chance explains; with
+    few ranks visible a window gets less weight.
     """
-    spread = (known / seconds / max(visible, _LEAST_VISIBLE)) ** 0.5
-    weight = _CALM_WEIGHT * visible
-    if visible >= _LEAST_VISIBLE and abs(rate - known) > _SURPRISE * spread:
-        weight = _SURPRISE_WEIGHT
+    deviation = (known / seconds / max(visible, _MIN_VISIBLE_SHARE)) ** 0.5
+    weight = _NORMAL_WEIGHT * visible
+    if (
+        visible >= _MIN_VISIBLE_SHARE
+        and abs(rate - known) > _OUTLIER_DEVIATIONS * deviation
+    ):
+        weight = _OUTLIER_WEIGHT
     return known + weight * (rate - known)
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission beside one target."""
+"""Admission of calls to one target."""
 
 from heapq import heappop, heappush
 
@@ -31,19 +31,19 @@
 
 SLOTS = 4
 FLOOR = 328
-NEVER = 1e9
+NO_LEVEL = 1e9
 MIDDLE = RANK_COUNT // 2
 
-LATE = st.sampled_from((0, 0, 0, 0.01, 1))
+DELAY_SECONDS = st.sampled_from((0, 0, 0, 0.01, 1))
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Drives admission with any events and checks what always holds."""
+    """Feeds arbitrary events to admission and checks its invariants."""
 
     def __init__(self):
         super().__init__()
         self.now = float(0)
-        self.settings = AdmissionSettings(slots=SLOTS, most_waiting=20)
+        self.settings = AdmissionSettings(slots=SLOTS, max_waiting=20)
         self.admission = Admission(self.settings, self.now)
         self.calls = {}
         self.waiting = set()
@@ -56,10 +56,10 @@
         rank=st.integers(0, RANK_COUNT - 1),
         seconds=st.sampled_from((0, 0.01, 0.1, 1, 5)),
         count=st.integers(1, 8),
-        late=LATE,
+        delay=DELAY_SECONDS,
     )
-    def arrive(self, importance, rank, seconds, count, late):
-        self.pass_time(late)
+    def arrive(self, importance, rank, seconds, count, delay):
+        self.pass_time(delay)
         for number in range(count):
             level = importance * RANK_COUNT + (rank + number) % RANK_COUNT
             call_id = str(len(self.calls))
@@ -78,10 +78,10 @@
         pick=st.randoms(use_true_random=False),
         was_complete=st.booleans(),
         was_shed=st.booleans(),
-        late=LATE,
+        delay=DELAY_SECONDS,
     )
-    def finish(self, pick, was_complete, was_shed, late):
-        self.pass_time(late)
+    def finish(self, pick, was_complete, was_shed, delay):
+        self.pass_time(delay)
         call_id = pick.choice(sorted(self.running))
         self.running.discard(call_id)
         self.send(
@@ -89,9 +89,9 @@
         )
 
     @precondition(lambda machine: machine.running or machine.waiting)
-    @rule(pick=st.randoms(use_true_random=False), late=LATE)
-    def cancel(self, pick, late):
-        self.pass_time(late)
+    @rule(pick=st.randoms(use_true_random=False), delay=DELAY_SECONDS)
+    def cancel(self, pick, delay):
+        self.pass_time(delay)
         call_id = pick.choice(sorted(self.waiting | self.running))
         self.waiting.discard(call_id)
         self.send(Cancelled(call_id))
@@ -114,7 +114,7 @@
         assert load.waiting == len(self.waiting)
 
     def pass_time(self, seconds):
-        """Let time pass without a tick."""
+        """Advance the clock without a tick."""
         self.now += seconds
         if seconds:
             self.refused_levels.clear()
@@ -144,9 +144,9 @@
         if isinstance(action, Dispatch):
             assert self.now < deadline
             self.running.add(action.call_id)
-            beyond_floor = level % RANK_COUNT >= FLOOR
-            worst = min(self.refused_levels, default=NEVER)
-            assert not (beyond_floor and level > worst)
+            is_above_floor = level % RANK_COUNT >= FLOOR
+            worst = min(self.refused_levels, default=NO_LEVEL)
+            assert not (is_above_floor and level > worst)
             return
         assert action.retry_after_ms > 0
         if action.reason is RefusalReason.OVERLOAD:
@@ -170,16 +170,16 @@
 
 
 class TestOrder:
-    """Which call goes first and which is refused."""
+    """Dispatch order, and refusals for deadlines."""
 
     def test_free_slot_is_used_at_once(self):
-        """A call that finds a free slot is dispatched by the same event."""
+        """A call that arrives while a slot is free is dispatched directly."""
         admission = Admission(AdmissionSettings(slots=1), 0)
 
         assert arrive(admission, 'a', 0) == [Dispatch('a')]
 
-    def test_importance_goes_before_arrival(self):
-        """A freed slot goes to the most important waiting call."""
+    def test_importance_precedes_arrival(self):
+        """A released slot goes to the most important waiting call."""
         admission = Admission(AdmissionSettings(slots=1), 0)
         arrive(admission, 'a', 0)
         arrive(admission, 'b', 0, level=level_of(5))
@@ -189,8 +189,8 @@
 
         assert actions == [Dispatch('c')]
 
-    def test_hopeless_call_is_refused_at_once(self):
-        """A call that cannot finish before its deadline never waits."""
+    def test_call_that_cannot_finish_is_refused_at_once(self):
+        """A call that cannot finish before its deadline is not queued."""
         admission = Admission(AdmissionSettings(slots=1), 0)
         arrive(admission, 'a', 0)
 
@@ -199,7 +199,7 @@
         assert [action.reason for action in actions] == [RefusalReason.DEADLINE]
 
     def test_call_that_waited_too_long_is_refused(self):
-        """A freed slot is not given to a call that cannot finish any more."""
+        """A waiting call that can no longer finish gets no released slot."""
         admission = Admission(AdmissionSettings(slots=2), 0)
         for call_id in 'ab':
             arrive(admission, call_id, 0)
@@ -210,7 +210,7 @@
         assert [action.reason for action in actions] == [RefusalReason.DEADLINE]
 
     def test_same_id_twice_is_an_error(self):
-        """A second call under the id of one that runs is a typed error."""
+        """A call under the id of a running one is a typed error."""
         admission = Admission(AdmissionSettings(slots=1), 0)
         arrive(admission, 'a', 0)
 
@@ -219,10 +219,10 @@
 
 
 class TestDrain:
-    """A target that leaves."""
+    """A target that is shutting down."""
 
-    def test_waiting_calls_move_on(self):
-        """A drain refuses waiting and new calls and lets running ones end."""
+    def test_waiting_calls_are_refused(self):
+        """A drain refuses waiting and new calls; running ones finish."""
         admission = Admission(AdmissionSettings(slots=1), 0)
         arrive(admission, 'a', 0)
         arrive(admission, 'b', 0)
@@ -236,7 +236,7 @@
         assert admission.is_drained
 
     def test_drain_that_cannot_finish_aborts(self):
-        """A drain aborts what still runs when its time is over."""
+        """A drain aborts the calls still running after its time limit."""
         limits = AdmissionSettings(slots=1, drain_seconds=5)
         admission = Admission(limits, 0)
         arrive(admission, 'a', 0, seconds=100)
@@ -248,15 +248,18 @@
 class TestOverload:
     """The threshold under steady overload."""
 
-    def test_calm_target_refuses_nothing(self):
-        """The threshold of a calm target is above every level."""
+    def test_idle_target_refuses_nothing(self):
+        """The threshold of an idle target is above every level."""
         admission = Admission(AdmissionSettings(slots=1), 0)
         admission.handle(Ticked(), 1)
 
         assert admission.threshold == OPEN_THRESHOLD
 
     def test_low_importance_is_refused_first(self):
-        """Important calls that alone fit are served under twice that load."""
+        """At twice the capacity only the less important calls are refused.
+
+        The important ones, a third of the load, fit into the capacity.
+        """
         target = FakeTarget(slots=2, published=2)
         refused = {1: 0, 4: 0}
         for step in range(4000):
@@ -267,8 +270,8 @@
         assert refused[1] <= 13
         assert refused[4] > 1900
 
-    def test_callers_that_heed_the_threshold_keep_the_target_busy(self):
-        """Little is refused at the target, and its slots are not left idle."""
+    def test_callers_that_follow_the_threshold_keep_the_target_busy(self):
+        """The target refuses few calls, and its slots do not stay idle."""
         target = FakeTarget(slots=2, published=2)
         sent = 0
         refused = 0
@@ -287,7 +290,7 @@
     """The limit on running calls."""
 
     def test_grows_when_too_few_slots_are_published(self):
-        """A target with more slots than published is found out."""
+        """The limit rises to the real slots of a target."""
         target = FakeTarget(slots=12, published=8)
 
         target.overload(seconds=20)
@@ -295,14 +298,14 @@
         assert target.admission.load().limit >= 11
 
     def test_stays_when_the_published_slots_are_right(self):
-        """Calls beyond the true slots take longer, so the limit stays."""
+        """Calls beyond the real slots take longer, so the limit stays."""
         target = FakeTarget(slots=8, published=8)
 
         target.overload(seconds=20)
 
         assert target.admission.load().limit <= 10
 
-    def test_slow_start_lowers_nothing(self):
+    def test_slow_start_does_not_lower_the_limit(self):
         """A target that is slow at first keeps its published slots."""
         target = FakeTarget(slots=8, published=8)
         target.work_seconds = 0.2
@@ -327,10 +330,10 @@
 
 
 class TestPause:
-    """A process that wakes up late."""
+    """A process that was paused."""
 
-    def test_pause_teaches_nothing(self):
-        """Calls that ran through a pause change neither time nor threshold."""
+    def test_pause_changes_no_estimate(self):
+        """Calls that run through a pause change no estimate."""
         target = FakeTarget(slots=8, published=8)
         for step in range(400):
             target.refuses(step % RANK_COUNT, step * 0.005)
@@ -344,7 +347,7 @@
 
 
 class FakeTarget:
-    """Runs calls in its true slots; more than these wait inside it."""
+    """Runs calls in its real slots; further calls wait inside it."""
 
     def __init__(self, *, slots, published):
         limits = AdmissionSettings(slots=published)
@@ -356,7 +359,7 @@
         self.ends = []
 
     def refuses(self, level, now):
-        """Send a call and tell whether it was refused at once."""
+        """Send a call and return whether it was refused at once."""
         self.run(now)
         self.calls += 1
         actions = arrive(
@@ -370,7 +373,7 @@
         return any(isinstance(action, Refuse) for action in actions)
 
     def overload(self, *, seconds):
-        """Send twice the calls that eight slots can serve."""
+        """Send twice the calls that eight slots of 20 ms each can serve."""
         for _ in range(int(seconds * 800)):
             self.now += 1 / 800
             self.refuses(self.calls * 7919 % (8 * RANK_COUNT), self.now)
--- a/tests/admission/test_target_queue.py
+++ b/tests/admission/test_target_queue.py
@@ -1,4 +1,4 @@
-"""The queue beside a target whose callers tell no root request."""
+"""The queue of a target whose callers do not identify the root request."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -38,28 +38,28 @@
 
 
 class TestTargetQueue:
-    """Order, refusals and room."""
+    """Order, refusals and the number of running calls."""
 
     def test_dispatches_while_there_are_slots(self) -> None:
-        """A call that finds a slot does not wait."""
+        """A call that arrives while a slot is free is not queued."""
         assert TargetQueue(slots=2).handle(arrived('a'), 0) == [Dispatch('a')]
 
     def test_leaves_some_slots_free(self) -> None:
-        """A target is not filled to its last slot."""
+        """Some slots of a target stay free, here 3 of 50."""
         queue = TargetQueue(slots=50)
         actions = [queue.handle(arrived(str(at)), 0) for at in range(50)]
         assert sum(bool(each) for each in actions) == 47
 
-    def test_takes_work_under_way_first(self) -> None:
-        """The call of a target goes before waiting requests of clients."""
+    def test_dispatches_work_in_progress_first(self) -> None:
+        """A call made by a target precedes waiting requests of clients."""
         queue = full_queue()
         queue.handle(arrived('client', importance=1, deadline=1), 0)
         queue.handle(arrived('inner', importance=0, deadline=9), 0)
         finished = Finished('r', was_complete=True)
         assert queue.handle(finished, 0.1) == [Dispatch('inner')]
 
-    def test_takes_the_nearer_deadline_first(self) -> None:
-        """Among equals the call with less time goes first."""
+    def test_dispatches_the_nearer_deadline_first(self) -> None:
+        """At equal importance the call with the nearer deadline is first."""
         queue = full_queue()
         queue.handle(arrived('late', deadline=9), 0)
         queue.handle(arrived('soon', deadline=3), 0)
@@ -67,7 +67,7 @@
         assert queue.handle(finished, 0.1) == [Dispatch('soon')]
 
     def test_refuses_at_once_what_cannot_end_in_time(self) -> None:
-        """A call whose wait is longer than its time is refused early."""
+        """A call that would wait beyond its deadline is not queued."""
         queue = full_queue()
         for at in range(20):
             queue.handle(arrived(str(at)), 0)
@@ -78,7 +78,7 @@
         assert actions[0].retry_after_ms > 500
 
     def test_refuses_at_the_deadline(self) -> None:
-        """A call that waited until its deadline is told so."""
+        """A call that waits until its deadline is refused for it."""
         queue = full_queue()
         queue.handle(arrived('a', deadline=1), 0)
         actions = queue.handle(Ticked(), 1.1)
@@ -86,21 +86,21 @@
         assert actions[0].reason is RefusalReason.DEADLINE
 
     def test_forgets_a_cancelled_call(self) -> None:
-        """A call whose client left takes no slot."""
+        """A call whose client has disconnected gets no slot."""
         queue = full_queue()
         queue.handle(arrived('a'), 0)
         assert not queue.handle(Cancelled('a'), 0.1)
         assert not queue.handle(Finished('r', was_complete=True), 0.2)
 
     def test_follows_the_slots_that_a_target_reports(self) -> None:
-        """Published slots may be wrong; the target's own word holds."""
+        """The target's own slots replace the published ones."""
         queue = full_queue()
         queue.handle(arrived('a'), 0)
         reported = LoadReported(running=1, slots=8)
         assert queue.handle(reported, 0.1) == [Dispatch('a')]
 
     def test_refuses_everything_when_leaving(self) -> None:
-        """A drain tells waiting and new calls to go elsewhere."""
+        """A drain refuses waiting and new calls as leaving."""
         queue = full_queue()
         queue.handle(arrived('a'), 0)
         actions = [
@@ -112,7 +112,7 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Any order of events; every call gets exactly one verdict."""
+    """Feeds arbitrary events; each call gets exactly one outcome."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -122,7 +122,7 @@
         self.open: set[str] = set()
         self.running: set[str] = set()
 
-    def play(self, event: object) -> None:
+    def handle(self, event: object) -> None:
         for action in self.queue.handle(event, self.now):  # type: ignore
             if isinstance(action, Dispatch):
                 assert action.call_id in self.open
@@ -137,7 +137,7 @@
         self.count += 1
         call_id = str(self.count)
         self.open.add(call_id)
-        self.play(
+        self.handle(
             arrived(
                 call_id,
                 importance=importance,
@@ -145,22 +145,24 @@
             ),
         )
 
-    @rule(is_good=st.booleans(), is_shed=st.booleans())
-    def finish(self, is_good: bool, is_shed: bool) -> None:
+    @rule(was_complete=st.booleans(), was_shed=st.booleans())
+    def finish(self, was_complete: bool, was_shed: bool) -> None:
         if self.running:
             call_id = self.running.pop()
-            self.play(Finished(call_id, was_complete=is_good, was_shed=is_shed))
+            self.handle(
+                Finished(call_id, was_complete=was_complete, was_shed=was_shed)
+            )
 
     @rule(seconds=st.floats(0, 1))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        self.play(Ticked())
+        self.handle(Ticked())
 
     @rule()
     def cancel(self) -> None:
         if self.open:
             call_id = self.open.pop()
-            self.play(Cancelled(call_id))
+            self.handle(Cancelled(call_id))
 
     @invariant()
     def runs_no_more_than_the_slots(self) -> None:
