--- a/src/lovageshunt/routing/__init__.py
+++ b/src/lovageshunt/routing/__init__.py
@@ -1,4 +1,4 @@
-"""The choice of a target from lagging and misleading load and health."""
+"""Choice of a target by load and health reports that lag and may be wrong."""
 
 from lovageshunt.routing._member import RouteMember
 from lovageshunt.routing._placement import Placement, PlacementRequest
@@ -7,8 +7,8 @@
 
 __all__ = [
     'Placement',
+    'PlacementRequest',
     'RouteMember',
     'Router',
     'RouterSettings',
-    'PlacementRequest',
 ]
--- a/src/lovageshunt/routing/_member.py
+++ b/src/lovageshunt/routing/_member.py
@@ -6,7 +6,7 @@
 class RouteMember(Record):
     """One target of a service and the node beside it.
 
-    ``address`` is where its node listens, ``incarnation`` changes when the
+    ``address`` is where its node listens. ``incarnation`` changes when the
     VM is replaced or the node restarts.
     """
 
@@ -31,7 +31,6 @@
         incarnation: str,
         is_leaving: bool = False,
     ) -> None:
-        """Take every field by name."""
         self.node = node
         self.service = service
         self.failure_domain = failure_domain
--- a/src/lovageshunt/routing/_placement.py
+++ b/src/lovageshunt/routing/_placement.py
@@ -1,9 +1,9 @@
-"""Places calls at targets whose nodes tell their load several times a second.
+"""Placement of calls by load that nodes report several times a second.
 
-It answers for three loads: a calm day, on which calls stay in their failure
-domain; a domain whose targets are slow, full or failing, whose calls are sent
-elsewhere as far as they would come too late; and a fleet that is full
-everywhere, where the emptier target is taken.
+Calls stay in their failure domain as long as its targets are healthy and have
+spare capacity. When these are slow, full or failing, calls go to other
+failure domains, slow ones only as far as the answers would be late. When
+targets are full everywhere, the less utilised target is chosen.
 """
 
 from random import Random
@@ -14,31 +14,37 @@
 from lovageshunt.routing._candidate import Candidate
 from lovageshunt.routing._member import RouteMember
 
-#: The share of its slots up to which a near target keeps its calls.
-_ROOM_SHARE: Final = 0.9
-#: By how much another target has to be less used, as a share of the near
-#: one's use, and the further difference at which every call goes there.
-_LEAST_GAP: Final = 0.15
+#: The utilisation up to which a near target keeps its calls.
+_MAX_NEAR_UTILISATION: Final = 0.9
+#: By how much a far target must be less utilised, as a share of the near
+#: one's utilisation, and the further difference at which every call goes
+#: there.
+_MIN_GAP: Final = 0.15
 _GAP_SPAN: Final = 0.8
-#: The share of the time that a call has, within which a near target's usual
-#: answer must come; twice the mean is about what one call in ten takes.
-_PATIENCE: Final = 0.55
-#: How much faster another target has to be, as a share of the near one.
-_FASTER: Final = 0.75
-#: The share of a slow target's calls that try one that was not seen yet.
-_TRIAL_SHARE: Final = 0.1
-#: By how much its share of failures may be above the best target's.
-_FAILURE_GAP: Final = 0.15
-#: When more than this share of the targets looks bad, none is left out.
-_MOST_EJECTED_SHARE: Final = 0.5
-_NOBODY: Final[frozenset[str]] = frozenset()
+#: The share of a call's time within which the mean answer of a near target
+#: must arrive; about one call in ten takes twice the mean.
+_MAX_NEAR_TIME_SHARE: Final = 0.55
+#: The largest duration of a far target, as a share of the near one's, at
+#: which calls leave a slow near target.
+_MAX_FAR_DURATION_SHARE: Final = 0.75
+#: The share of a slow target's calls that probe a far one which has not
+#: answered this kind yet.
+_PROBE_SHARE: Final = 0.1
+#: By how much a near target's failure share may exceed that of the best far
+#: one.
+_MAX_FAILURE_GAP: Final = 0.15
+#: When more than this share of the targets is ejected, all are used.
+_MAX_EJECTED_SHARE: Final = 0.5
+_NO_TARGETS: Final[frozenset[str]] = frozenset()
 
 
 class PlacementRequest(Record):
-    """A call to be placed: its kind, its time, and where it must not go.
+    """A call to be placed.
 
-    ``seconds`` is the time within which its answer is worth most, ``allowed``
-    the targets that it may go to, any if that is nothing.
+    ``seconds`` is the time within which its answer is worth most.
+    ``may_explore`` allows sending it to a target that has just joined.
+    ``allowed`` are the ids of the targets that it may go to, all if ``None``;
+    ``excluded`` those that it must not go to.
     """
 
     __slots__ = ('kind', 'seconds', 'may_explore', 'excluded', 'allowed')
@@ -49,10 +55,9 @@
         kind: str,
         seconds: float,
         may_explore: bool,
-        excluded: frozenset[str] = _NOBODY,
+        excluded: frozenset[str] = _NO_TARGETS,
         allowed: frozenset[str] | None = None,
     ) -> None:
-        """Take every field; ``may_explore`` lets it try a newcomer."""
         self.kind = kind
         self.seconds = seconds
         self.may_explore = may_explore
@@ -60,7 +65,7 @@
         self.allowed = allowed
 
     def may_go_to(self, target_id: str) -> bool:
-        """Tell whether the call may be sent to a target."""
+        """Return whether the call may be sent to a target."""
         if target_id in self.excluded:
             return False
         return self.allowed is None or target_id in self.allowed
@@ -69,21 +74,21 @@
 class Placement:
     """Chooses among the targets of one service.
 
-    Each ``started`` is followed by one ``ended`` or ``abandoned``.
+    Each ``started`` must be followed by one ``ended`` or ``abandoned``.
     """
 
     __slots__ = ('_own_failure_domain', '_rng', '_by_id', '_newcomers')
 
     def __init__(self, own_failure_domain: str, rng: Random) -> None:
-        """Start with no targets."""
         self._own_failure_domain = own_failure_domain
         self._rng = rng
         self._by_id: dict[str, Candidate] = {}
+        #: Targets that joined and to which this node has sent no call yet.
         self._newcomers: list[str] = []
 
     @property
     def candidates(self) -> list[Candidate]:
-        """Return every target."""
+        """Return the statistics of every listed target."""
         return list(self._by_id.values())
 
     def set_members(
@@ -91,12 +96,12 @@
         members: list[RouteMember],
         cold_until_by_id: dict[str, float],
     ) -> None:
-        """Replace the picture; what is known of the same targets is kept."""
+        """Replace the list of targets; keep the statistics of known ones."""
         known = self._by_id
         self._by_id = {}
         for member in members:
             candidate = known.get(member.node)
-            if candidate is None or candidate.is_reborn(member):
+            if candidate is None or candidate.is_restarted(member):
                 candidate = Candidate(member)
                 if known:
                     self._newcomers.append(member.node)
@@ -105,41 +110,41 @@
             self._by_id[member.node] = candidate
 
     def heard(self, target_id: str, load: LoadReport, now: float) -> None:
-        """Take a target's load as its node told it."""
+        """Record a load report of a target's node."""
         candidate = self._by_id.get(target_id)
         if candidate is not None:
-            candidate.heard(load, now)
+            candidate.record_load(load, now)
 
     def choose(
         self,
-        wanted: PlacementRequest,
+        request: PlacementRequest,
         now: float,
-        unreachable: frozenset[str] = _NOBODY,
+        unreachable: frozenset[str] = _NO_TARGETS,
     ) -> RouteMember | None:
-        """Return the target for a call, or nothing if none may be used.
+        """Return the target for a call, or ``None`` if none may be used.
 
-        ``unreachable`` are used only when there is no other.
+        Targets in ``unreachable`` are used only if there is no other.
         """
         staying = [
             candidate
             for target_id, candidate in self._by_id.items()
-            if wanted.may_go_to(target_id) and not candidate.member.is_leaving
+            if request.may_go_to(target_id) and not candidate.member.is_leaving
         ]
         usable = [
             candidate
             for candidate in staying
             if candidate.member.node not in unreachable
         ]
-        usable = self._trusted(usable or staying, now)
+        usable = self._healthy(usable or staying, now)
         if not usable:
             return None
-        newcomer = self._newcomer(wanted, usable)
+        newcomer = self._newcomer(request, usable)
         if newcomer is not None:
             return newcomer
-        return self._best(usable, wanted, now).member
+        return self._best(usable, request, now).member
 
     def started(self, target_id: str) -> None:
-        """Note that a call was sent to a target."""
+        """Record that a call was sent to a target."""
         candidate = self._by_id.get(target_id)
         if candidate is not None:
             candidate.in_flight += 1
@@ -147,7 +152,7 @@
                 self._newcomers.remove(target_id)
 
     def abandoned(self, target_id: str) -> None:
-        """Note that a call was given up, which says nothing of its target."""
+        """Record that a call was abandoned; not a failure of the target."""
         candidate = self._by_id.get(target_id)
         if candidate is not None:
             candidate.in_flight = max(0, candidate.in_flight - 1)
@@ -163,38 +168,44 @@
         was_error: bool,
         now: float,
     ) -> None:
-        """Note how a call ended; ``was_error`` is a failure of the target."""
+        """Record how a call ended and its duration in seconds.
+
+        ``was_error`` is true for an answer that is a failure of the target.
+        """
         candidate = self._by_id.get(target_id)
         if candidate is None:
             return
         candidate.in_flight = max(0, candidate.in_flight - 1)
         if outcome is Outcome.ANSWERED:
-            candidate.answered(kind, seconds, now, was_error=was_error)
+            candidate.record_answer(kind, seconds, now, was_error=was_error)
         elif reason is RefusalReason.LEAVING:
-            candidate.refused_leaving(now)
+            candidate.record_leaving(now)
         elif outcome is not Outcome.NOT_RUN:
-            candidate.failed(now, self._rng.random())
+            candidate.record_failure(now, self._rng.random())
         elif reason is not RefusalReason.OVERLOAD:
-            candidate.shed()
+            candidate.record_shed()
 
-    def _trusted(
+    def _healthy(
         self,
         candidates: list[Candidate],
         now: float,
     ) -> list[Candidate]:
-        """Leave out failing targets, unless most look as if they failed."""
-        sound = [each for each in candidates if not each.is_ejected(now)]
-        if len(sound) < len(candidates) * (1 - _MOST_EJECTED_SHARE):
+        """Leave out ejected targets, unless most targets are ejected."""
+        healthy = [each for each in candidates if not each.is_ejected(now)]
+        if len(healthy) < len(candidates) * (1 - _MAX_EJECTED_SHARE):
             return candidates
-        return sound
+        return healthy
 
     def _newcomer(
         self,
-        wanted: PlacementRequest,
+        request: PlacementRequest,
         usable: list[Candidate],
     ) -> RouteMember | None:
-        """Let one call of each node show that a new target works."""
-        if not wanted.may_explore or not self._newcomers:
+        """Return a target to which this node has not sent a call yet.
+
+        One call of each node verifies that a new target works.
+        """
+        if not request.may_explore or not self._newcomers:
             return None
         for candidate in usable:
             if candidate.member.node in self._newcomers:
@@ -204,7 +215,7 @@
     def _best(
         self,
         usable: list[Candidate],
-        wanted: PlacementRequest,
+        request: PlacementRequest,
         now: float,
     ) -> Candidate:
         near = [
@@ -213,13 +224,13 @@
             if candidate.member.failure_domain == self._own_failure_domain
         ]
         if not near:
-            return self._better_of_two(usable, wanted, now)
+            return self._better_of_two(usable, request, now)
         if len(near) == len(usable):
-            return self._better_of_two(near, wanted, now)
-        best_near = self._better_of_two(near, wanted, now)
+            return self._better_of_two(near, request, now)
+        best_near = self._better_of_two(near, request, now)
         far = [each for each in usable if each not in near]
-        best_far = self._better_of_two(far, wanted, now)
-        if self._goes_far(best_near, best_far, wanted, now):
+        best_far = self._better_of_two(far, request, now)
+        if self._goes_far(best_near, best_far, request, now):
             return best_far
         return best_near
 
@@ -227,34 +238,34 @@
         self,
         near: Candidate,
         far: Candidate,
-        wanted: PlacementRequest,
+        request: PlacementRequest,
         now: float,
     ) -> bool:
         failure_gap = near.failure_share - far.failure_share
-        if failure_gap > _FAILURE_GAP:
+        if failure_gap > _MAX_FAILURE_GAP:
             return True
-        near_seconds = near.expected_seconds(wanted.kind, now)
-        far_seconds = far.expected_seconds(wanted.kind, now)
-        is_slow = near_seconds > wanted.seconds * _PATIENCE
-        if is_slow and not far.has_seen(wanted.kind):
-            return self._rng.random() < _TRIAL_SHARE
-        if is_slow and far_seconds < near_seconds * _FASTER:
+        near_seconds = near.expected_seconds(request.kind, now)
+        far_seconds = far.expected_seconds(request.kind, now)
+        is_slow = near_seconds > request.seconds * _MAX_NEAR_TIME_SHARE
+        if is_slow and not far.has_answered(request.kind):
+            return self._rng.random() < _PROBE_SHARE
+        if is_slow and far_seconds < near_seconds * _MAX_FAR_DURATION_SHARE:
             return True
-        used = near.utilisation(now)
-        if used <= _ROOM_SHARE:
+        utilisation = near.utilisation(now)
+        if utilisation <= _MAX_NEAR_UTILISATION:
             return False
-        gap = 1 - far.utilisation(now) / used
-        return self._rng.random() < (gap - _LEAST_GAP) / _GAP_SPAN
+        gap = 1 - far.utilisation(now) / utilisation
+        return self._rng.random() < (gap - _MIN_GAP) / _GAP_SPAN
 
     def _better_of_two(
         self,
         candidates: list[Candidate],
-        wanted: PlacementRequest,
+        request: PlacementRequest,
         now: float,
     ) -> Candidate:
         if len(candidates) == 1:
             return candidates[0]
         first, second = self._rng.sample(candidates, 2)
-        first_cost = first.cost(wanted.kind, now)
-        second_cost = second.cost(wanted.kind, now)
+        first_cost = first.cost(request.kind, now)
+        second_cost = second.cost(request.kind, now)
         return first if first_cost <= second_cost else second
--- a/src/lovageshunt/routing/_router.py
+++ b/src/lovageshunt/routing/_router.py
@@ -1,4 +1,4 @@
-"""Which target of a service a call is sent to."""
+"""Choice of the target of a service that a call is sent to."""
 
 from random import Random
 
@@ -9,14 +9,14 @@
 from lovageshunt.routing._view import TargetView
 
 _HALF = 0.5
-_NOBODY: frozenset[str] = frozenset()
+_NO_TARGETS: frozenset[str] = frozenset()
 _FULL = frozenset((RefusalReason.OVERLOAD, RefusalReason.QUEUE_FULL))
 
 
 class Router:
     """Chooses among the targets of one service.
 
-    Each ``started`` is followed by one ``answered`` or ``lost``.
+    Each ``started`` must be followed by one ``answered`` or ``lost``.
     """
 
     __slots__ = (
@@ -25,7 +25,7 @@
         '_settings',
         '_tiers',
         '_view_by_node',
-        '_left',
+        '_leaving',
     )
 
     def __init__(
@@ -37,7 +37,6 @@
         rng: Random,
         settings: RouterSettings | None = None,
     ) -> None:
-        """Start with no targets."""
         self._service = service
         self._rng = rng
         self._settings = settings or RouterSettings()
@@ -48,12 +47,16 @@
             settings=self._settings,
         )
         self._view_by_node: dict[str, TargetView] = {}
-        self._left: set[tuple[str, str]] = set()
+        self._leaving: set[tuple[str, str]] = set()
 
     def set_members(self, members: list[RouteMember], now: float) -> None:
-        """Replace the picture; what is known of the same targets is kept."""
+        """Replace the list of targets; keep the statistics of known ones.
+
+        Members of other services are ignored.
+        """
         known = self._view_by_node
-        # The first picture holds no newcomers: all are equally unknown.
+        # Targets of the first list need no slow start: none of them is newer
+        # than the others.
         joined_at = now if known else float('-inf')
         self._view_by_node = {
             member.node: self._view_of(member, joined_at)
@@ -61,14 +64,14 @@
             if member.service == self._service
         }
         listed = {(member.node, member.incarnation) for member in members}
-        self._left &= listed
+        self._leaving &= listed
 
     def choose(
         self,
         now: float,
-        excluded: frozenset[str] = _NOBODY,
+        excluded: frozenset[str] = _NO_TARGETS,
     ) -> RouteMember | None:
-        """Return the target for a call, or nothing if none may be used."""
+        """Return the target for a call, or ``None`` if none may be used."""
         staying = [
             view
             for node, view in self._view_by_node.items()
@@ -77,14 +80,15 @@
         if not staying:
             return None
         usable = [view for view in staying if not view.is_ejected(now)]
-        if len(usable) < len(staying) * (1 - self._settings.most_ejected_share):
-            # When most targets look bad, the picture is at fault.
+        if len(usable) < len(staying) * (1 - self._settings.max_ejected_share):
+            # When most targets look unhealthy, the caller's statistics are
+            # more likely to be wrong than the targets.
             usable = staying
         tier = self._tiers.pick(usable, now)
         return self._better_of_two(tier, now).member
 
     def started(self, node: str, now: float) -> None:
-        """Note that a call was sent to a target."""
+        """Record that a call was sent to a target."""
         view = self._view_by_node.get(node)
         if view is not None:
             view.in_flight += 1
@@ -99,40 +103,43 @@
         reason: RefusalReason | None = None,
         load: LoadReport | None = None,
     ) -> None:
-        """Note how a call ended and the load that its answer carried."""
+        """Record how a call ended and the load reported in its answer.
+
+        ``seconds`` is the duration of the call.
+        """
         view = self._view_by_node.get(node)
         if view is None:
             return
         view.in_flight = max(0, view.in_flight - 1)
         if load is not None:
-            view.report(load, now)
+            view.record_load(load, now)
         if outcome is Outcome.ANSWERED:
-            view.succeeded(seconds)
+            view.record_success(seconds)
             return
         if reason is RefusalReason.LEAVING:
-            self._left.add((node, view.member.incarnation))
+            self._leaving.add((node, view.member.incarnation))
             return
         if reason in _FULL:
-            view.refused(now)
+            view.record_refusal(now)
             return
         if outcome is not Outcome.NOT_RUN:
-            self._count_failure(view, now, seconds)
+            self._record_failure(view, now, seconds)
 
     def lost(self, node: str, now: float) -> None:
-        """Note that a call ended without an answer."""
+        """Record that a call ended without an answer."""
         view = self._view_by_node.get(node)
         if view is None:
             return
         view.in_flight = max(0, view.in_flight - 1)
-        self._count_failure(view, now, 0)
+        self._record_failure(view, now, 0)
 
-    def _count_failure(
+    def _record_failure(
         self,
         view: TargetView,
         now: float,
         seconds: float,
     ) -> None:
-        if view.failed(seconds):
+        if view.record_failure(seconds):
             view.eject(now, _HALF + self._rng.random())
 
     def _view_of(self, member: RouteMember, joined_at: float) -> TargetView:
@@ -143,14 +150,14 @@
         return view
 
     def _is_leaving(self, member: RouteMember) -> bool:
-        has_left = (member.node, member.incarnation) in self._left
-        return member.is_leaving or has_left
+        has_announced = (member.node, member.incarnation) in self._leaving
+        return member.is_leaving or has_announced
 
     def _better_of_two(self, tier: list[TargetView], now: float) -> TargetView:
-        first = self._warm_one(tier, now)
-        second = self._warm_one(tier, now)
+        first = self._draw(tier, now)
+        second = self._draw(tier, now)
         return min(first, second, key=lambda view: view.cost(now))
 
-    def _warm_one(self, tier: list[TargetView], now: float) -> TargetView:
-        weights = [view.warmth(now) for view in tier]
+    def _draw(self, tier: list[TargetView], now: float) -> TargetView:
+        weights = [view.slow_start_share(now) for view in tier]
         return self._rng.choices(tier, weights)[0]
--- a/src/lovageshunt/routing/_tiers.py
+++ b/src/lovageshunt/routing/_tiers.py
@@ -1,4 +1,4 @@
-"""Which targets are near enough and have room."""
+"""Choice of the nearest tier of targets that has spare capacity."""
 
 from random import Random
 from statistics import fmean
@@ -13,7 +13,11 @@
 
 
 class Tiers:
-    """Prefers the own failure domain, then the own region, while they last."""
+    """Prefers the own failure domain, then the own region, then any target.
+
+    A tier is passed over as its utilisation rises. Each caller uses its own
+    random subset of a large tier.
+    """
 
     __slots__ = ('_failure_domain', '_region', '_rng', '_settings', '_salt')
 
@@ -25,7 +29,6 @@
         rng: Random,
         settings: RouterSettings,
     ) -> None:
-        """Say where the caller is."""
         self._failure_domain = failure_domain
         self._region = region
         self._rng = rng
@@ -37,7 +40,7 @@
         region = [view for view in views if self._is_in_region(view)]
         near = [view for view in region if self._is_near(view)]
         for tier in (near, region):
-            if tier and self._has_room(tier, now):
+            if tier and self._has_capacity(tier, now):
                 return self._in_aperture(tier)
         return self._in_aperture(region or views)
 
@@ -47,19 +50,19 @@
     def _is_near(self, view: TargetView) -> bool:
         return view.member.failure_domain == self._failure_domain
 
-    def _has_room(self, tier: list[TargetView], now: float) -> bool:
-        """Draw, so that callers leave a filling tier one by one."""
+    def _has_capacity(self, tier: list[TargetView], now: float) -> bool:
+        """Decide at random, so that calls leave a filling tier gradually."""
         load = fmean(view.utilisation(now) for view in tier)
-        full = self._settings.full_share
-        span = full - self._settings.room_share
-        return self._rng.random() < (full - load) / span
+        end = self._settings.spill_end_share
+        span = end - self._settings.spill_start_share
+        return self._rng.random() < (end - load) / span
 
     def _in_aperture(self, tier: list[TargetView]) -> list[TargetView]:
         if len(tier) <= self._settings.aperture:
             return tier
-        ordered = sorted(tier, key=self._draw)
+        ordered = sorted(tier, key=self._salted_hash)
         return ordered[: self._settings.aperture]
 
-    def _draw(self, view: TargetView) -> int:
+    def _salted_hash(self, view: TargetView) -> int:
         node = view.member.node.encode()
         return xxh3_64_intdigest(node, seed=self._salt)
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -1,4 +1,4 @@
-"""Placing calls with load that is told several times a second."""
+"""Placement of calls by load that nodes report."""
 
 from collections import Counter
 from random import Random
@@ -8,7 +8,7 @@
 
 NEAR = 'near'
 FAR = 'far'
-NOBODY: frozenset[str] = frozenset()
+NO_TARGETS: frozenset[str] = frozenset()
 
 
 def member(
@@ -35,9 +35,9 @@
     return placement
 
 
-def wanted(
+def request_for(
     seconds: float = 1,
-    excluded: frozenset[str] = NOBODY,
+    excluded: frozenset[str] = NO_TARGETS,
     *,
     may_explore: bool = False,
 ) -> PlacementRequest:
@@ -75,8 +75,8 @@
     )
 
 
-def chosen(placement: Placement, count: int = 200, **want: float) -> Counter:
-    found = [placement.choose(wanted(**want), 0) for _ in range(count)]
+def chosen(placement: Placement, count: int = 200, **fields: float) -> Counter:
+    found = [placement.choose(request_for(**fields), 0) for _ in range(count)]
     return Counter(each.node for each in found if each is not None)
 
 
@@ -84,16 +84,16 @@
 
 
 class TestPlacement:
-    """Where a call goes."""
+    """The target that a call is placed at."""
 
-    def test_stays_near_on_a_calm_day(self) -> None:
-        """A near target with room gets every call."""
+    def test_stays_near_at_low_load(self) -> None:
+        """A near target with spare capacity gets every call."""
         placement = placement_of(*BOTH)
         placement.heard('n', load(6), 0)
         assert chosen(placement) == {'n': 200}
 
-    def test_goes_to_no_other_than_it_may(self) -> None:
-        """A call that may go to some targets only is sent to one of them."""
+    def test_uses_only_allowed_targets(self) -> None:
+        """A call restricted to some targets is sent to one of them."""
         placement = placement_of(*BOTH)
         call = PlacementRequest(
             kind='k',
@@ -104,11 +104,11 @@
         found = placement.choose(call, 0)
         assert found is not None
         assert found.node == 'f'
-        call.excluded = call.allowed or NOBODY
+        call.excluded = call.allowed or NO_TARGETS
         assert placement.choose(call, 0) is None
 
     def test_spills_by_the_difference_in_load(self) -> None:
-        """A full near target gives away calls, not all at once."""
+        """A part of the calls leaves a full near target."""
         placement = placement_of(*BOTH)
         for _ in range(8):
             placement.heard('n', load(10), 0)
@@ -116,7 +116,7 @@
         assert 80 < chosen(placement)['f'] < 160
 
     def test_stays_near_when_all_are_full(self) -> None:
-        """With no emptier target elsewhere nothing crosses."""
+        """Calls stay near if no other target is less utilised."""
         placement = placement_of(*BOTH)
         for _ in range(8):
             placement.heard('n', load(10, 5), 0)
@@ -124,14 +124,14 @@
         assert chosen(placement) == {'n': 200}
 
     def test_leaves_a_slow_domain(self) -> None:
-        """Calls that would come too late go where they come in time."""
+        """Calls that would be late near go where they are in time."""
         placement = placement_of(*BOTH)
         for _ in range(40):
             end(placement, 'n', seconds=0.8)
             end(placement, 'f', seconds=0.2)
         assert chosen(placement) == {'f': 200}
 
-    def test_bears_a_slow_domain_that_is_in_time(self) -> None:
+    def test_stays_in_a_slow_domain_that_is_in_time(self) -> None:
         """A near target that is slower but in time keeps its calls."""
         placement = placement_of(*BOTH)
         for _ in range(40):
@@ -148,27 +148,27 @@
         assert chosen(placement) == {'f': 200}
 
     def test_ejects_after_lost_answers(self) -> None:
-        """Answers lost in a row eject a target for a while."""
+        """Several lost answers in a row eject a target."""
         placement = placement_of(*BOTH)
         for _ in range(8):
             end(placement, 'n', outcome=Outcome.UNKNOWN)
         assert chosen(placement) == {'f': 200}
 
-    def test_distrusts_a_picture_without_sound_targets(self) -> None:
-        """When all targets fail, calls are still placed."""
+    def test_uses_all_targets_when_all_are_ejected(self) -> None:
+        """When all targets are ejected, calls are still placed."""
         placement = placement_of(*BOTH)
         for _ in range(8):
             end(placement, 'n', outcome=Outcome.UNKNOWN)
             end(placement, 'f', outcome=Outcome.UNKNOWN)
         assert chosen(placement).total() == 200
 
-    def test_avoids_who_leaves(self) -> None:
-        """A leaving target gets no call, not even as the only one."""
+    def test_avoids_a_leaving_target(self) -> None:
+        """A leaving target gets no call, even if it is the only one."""
         placement = placement_of(member('n', NEAR, is_leaving=True))
-        assert placement.choose(wanted(), 0) is None
+        assert placement.choose(request_for(), 0) is None
 
-    def test_avoids_who_said_that_it_leaves(self) -> None:
-        """A target's own word goes before the list."""
+    def test_avoids_a_target_that_refused_as_leaving(self) -> None:
+        """A target that refused as leaving is avoided at once."""
         placement = placement_of(*BOTH)
         end(
             placement,
@@ -179,28 +179,28 @@
         assert chosen(placement) == {'f': 200}
 
     def test_uses_an_unreachable_target_last(self) -> None:
-        """A target without a link is tried only when no other is left."""
+        """A target without a link is used only if there is no other."""
         placement = placement_of(*BOTH)
-        found = placement.choose(wanted(), 0, frozenset(('n',)))
+        found = placement.choose(request_for(), 0, frozenset(('n',)))
         assert found is not None
         assert found.node == 'f'
-        found = placement.choose(wanted(), 0, frozenset(('n', 'f')))
+        found = placement.choose(request_for(), 0, frozenset(('n', 'f')))
         assert found is not None
 
     def test_tries_a_newcomer_once(self) -> None:
-        """A target that joins gets one call, then those it is due."""
+        """A target that joins gets one call, then is treated as any other."""
         placement = placement_of(member('n', NEAR))
         placement.set_members(list(BOTH), {})
-        first = placement.choose(wanted(may_explore=True), 0)
+        first = placement.choose(request_for(may_explore=True), 0)
         assert first is not None
         assert first.node == 'f'
         placement.started('f')
-        second = placement.choose(wanted(may_explore=True), 0)
+        second = placement.choose(request_for(may_explore=True), 0)
         assert second is not None
         assert second.node == 'n'
 
-    def test_never_tries_where_it_was_told_not_to(self) -> None:
-        """A target that was tried before is not chosen again."""
+    def test_never_uses_an_excluded_target(self) -> None:
+        """A call with all targets excluded is not placed."""
         placement = placement_of(*BOTH)
-        found = placement.choose(wanted(excluded=frozenset(('n', 'f'))), 0)
+        found = placement.choose(request_for(excluded=frozenset(('n', 'f'))), 0)
         assert found is None
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""The choice of a target."""
+"""Choice of a target."""
 
 from random import Random
 
@@ -36,13 +36,13 @@
 
 
 def shares(router, now, count=400):
-    """Return the per cent of choices by node."""
+    """Return the percentage of choices by node."""
     chosen = [router.choose(now).node for _ in range(count)]
     return {node: chosen.count(node) * 100 // count for node in set(chosen)}
 
 
 class RouterMachine(RuleBasedStateMachine):
-    """Drives a router with any answers and checks what always holds."""
+    """Feeds a router arbitrary answers and checks its invariants."""
 
     def __init__(self):
         super().__init__()
@@ -164,7 +164,7 @@
     """Failures and ejection."""
 
     def test_failing_target_is_left_out(self):
-        """A target that fails again and again gets no calls for a while."""
+        """A target that fails several times in a row is ejected for a while."""
         router = router_of(*map(member, 'abc'))
         fail(router, 'a')
 
@@ -172,7 +172,7 @@
         assert 'a' in shares(router, 60)
 
     def test_returned_target_is_left_out_at_its_first_failure(self):
-        """A target that comes back and fails again gets one call."""
+        """After an ejection one failure ejects a target again."""
         router = router_of(*map(member, 'abc'))
         fail(router, 'a')
         fail(router, 'a', now=10, times=1)
@@ -180,15 +180,15 @@
         assert 'a' not in shares(router, 10.1)
 
     def test_half_of_the_targets_may_be_left_out(self):
-        """Two bad targets of four get nothing."""
+        """Two failing targets of four get no calls."""
         router = router_of(*map(member, 'abcd'))
         for node in 'ab':
             fail(router, node)
 
         assert set(shares(router, 0.5)) == set('cd')
 
-    def test_picture_is_distrusted_when_most_look_bad(self):
-        """Three bad targets of four are tried again, rarely."""
+    def test_all_targets_are_used_when_most_are_ejected(self):
+        """Three failing targets of four still get a few calls."""
         router = router_of(*map(member, 'abcd'))
         for node in 'abc':
             fail(router, node)
@@ -197,8 +197,8 @@
         assert set(found) == set('abcd')
         assert found['d'] > 40
 
-    def test_leaving_answer_acts_at_once(self):
-        """A target that answered that it is leaving is never chosen again."""
+    def test_leaving_refusal_takes_effect_at_once(self):
+        """A target that refused a call as leaving is not chosen again."""
         router = router_of(*map(member, 'ab'))
         router.started('a', 0)
         router.answered(
@@ -212,7 +212,7 @@
         assert set(shares(router, 0)) == {'b'}
 
     def test_fast_errors_attract_no_calls(self):
-        """A target that fails fast gets no more calls than a sound one."""
+        """A target that fails fast gets no more calls than a healthy one."""
         router = router_of(*map(member, 'ab'))
         for _ in range(20):
             answer(router, 'b', seconds=0.05)
@@ -223,10 +223,10 @@
 
 
 class TestLoad:
-    """Load seen and reported."""
+    """Load observed and reported."""
 
-    def test_near_target_with_room_is_preferred(self):
-        """The own failure domain gets all calls while it has room."""
+    def test_near_target_with_capacity_is_preferred(self):
+        """The own failure domain gets all calls while it has capacity."""
         far = member('far', failure_domain='fd2')
         router = router_of(member('near'), far)
         answer(router, 'near', load=load_of(2))
@@ -234,15 +234,15 @@
         assert shares(router, 0.1) == {'near': 100}
 
     def test_full_near_target_spills_over(self):
-        """Calls leave a full own failure domain."""
+        """Calls go elsewhere when the own failure domain is full."""
         far = member('far', failure_domain='fd2')
         router = router_of(member('near'), far)
         answer(router, 'near', load=load_of(10, waiting=5))
 
         assert shares(router, 0.1)['far'] > 50
 
-    def test_best_target_is_not_rushed(self):
-        """The target that looks best gets less than all of the calls."""
+    def test_best_target_does_not_get_every_call(self):
+        """The target with the lowest cost gets only a part of the calls."""
         router = router_of(*map(member, 'abcd'))
         for node in 'bcd':
             answer(router, node, load=load_of(8))
@@ -250,7 +250,7 @@
         assert 30 < shares(router, 0.1)['a'] < 60
 
     def test_newcomer_starts_slowly(self):
-        """A target that just joined gets a small share, later a full one."""
+        """A target that has just joined ramps up to its full share."""
         router = router_of(*map(member, 'ab'))
         router.set_members([member(node) for node in 'abc'], 100)
 
