--- a/src/lovageshunt/routes/__init__.py
+++ b/src/lovageshunt/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Which service a request goes to, and what may be done with it."""
+"""Operator configuration: which service serves a request, and its limits."""
 
 from lovageshunt.routes._configuration import (
     Configuration,
--- a/src/lovageshunt/routes/_configuration.py
+++ b/src/lovageshunt/routes/_configuration.py
@@ -1,26 +1,25 @@
-"""The operators' configuration of routes and services, checked."""
+"""The operators' configuration of routes and services, after validation."""
 
 from lovageshunt._record import Record
 
 
 class Destination(Record):
-    """A service that gets a share of a route's requests, by weight."""
+    """A service that serves a share of a route's requests, by weight."""
 
     __slots__ = ('service', 'weight')
 
     def __init__(self, *, service: str, weight: float) -> None:
-        """Take both fields."""
         self.service = service
         self.weight = weight
 
 
 class Route(Record):
-    """Requests of one host whose path begins with ``prefix``.
+    """Requests of one host whose path starts with ``prefix``.
 
-    ``is_repeatable`` tells whether a request may run more than once,
-    ``most_attempts`` at how many targets one may be tried. An answer is due
-    within ``timeout_seconds`` and is worth most within ``aim_seconds``.
-    ``importance`` 0 is refused last.
+    ``is_repeatable`` is true if a request may run more than once,
+    ``most_attempts`` the number of targets that one request may be sent to.
+    An answer is due within ``timeout_seconds`` and worth most within
+    ``aim_seconds``. ``importance`` 0 is refused last.
     """
 
     __slots__ = (
@@ -48,7 +47,6 @@
         aim_seconds: float,
         importance: int,
     ) -> None:
-        """Take every field by name."""
         self.name = name
         self.host = host
         self.prefix = prefix
@@ -61,22 +59,21 @@
 
 
 class ServiceLimits(Record):
-    """What the targets of one service bear: connections to each of them."""
+    """Limits of a service; ``connections`` is the maximum to each target."""
 
     __slots__ = ('service', 'connections')
 
     def __init__(self, *, service: str, connections: int) -> None:
-        """Take both fields."""
         self.service = service
         self.connections = connections
 
 
 class Configuration(Record):
-    """One version of everything that operators set.
+    """One version of all operator settings.
 
-    ``version`` grows from one to the next. The four limits bound what a
-    client may send: bytes of a head and of a body, seconds for a head and
-    between two requests.
+    ``version`` increases with each one. ``head_bytes`` and ``body_bytes``
+    limit the size of a client's request, ``head_seconds`` the time in which
+    its head must arrive, ``idle_seconds`` the time between two requests.
     """
 
     __slots__ = (
@@ -100,7 +97,6 @@
         head_seconds: float,
         idle_seconds: float,
     ) -> None:
-        """Take every field by name."""
         self.version = version
         self.routes = routes
         self.limits_by_service = limits_by_service
--- a/src/lovageshunt/routes/_split.py
+++ b/src/lovageshunt/routes/_split.py
@@ -1,20 +1,19 @@
-"""Divides the requests of a route among services by weight."""
+"""Distribution of a route's requests over services by weight."""
 
 from lovageshunt.routes._configuration import Route
 
 
 class WeightedRoundRobin:
-    """Smooth weighted round robin, one for each route in force.
+    """Smooth weighted round robin for each route of the configuration.
 
-    Each choice adds every weight to its service's credit and takes the sum
-    from the service chosen, so that shares hold over any short run of
+    Each choice adds every weight to its service's credit and subtracts the
+    sum from the service chosen, so that shares hold over any short run of
     requests.
     """
 
     __slots__ = ('_credit_by_service_by_route',)
 
     def __init__(self) -> None:
-        """Start with no credit."""
         self._credit_by_service_by_route: dict[
             tuple[str, str],
             dict[str, float],
--- a/src/lovageshunt/routes/_table.py
+++ b/src/lovageshunt/routes/_table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request."""
+"""Lookup of the route of a request."""
 
 from typing import Self
 
@@ -8,12 +8,11 @@
 
 
 class RouteTable:
-    """Routes by host and prefix; the longest prefix of a path wins."""
+    """Routes by host and prefix; the longest matching prefix wins."""
 
     __slots__ = ('_by_prefix_by_host',)
 
     def __init__(self, routes: tuple[Route, ...]) -> None:
-        """Index the routes."""
         self._by_prefix_by_host: dict[str, dict[str, Route]] = {}
         for route in routes:
             by_prefix = self._by_prefix_by_host.setdefault(route.host, {})
@@ -21,20 +20,20 @@
 
     @classmethod
     def of(cls, configuration: Configuration) -> Self:
-        """Return the table of a configuration."""
+        """Return the table of a configuration's routes."""
         return cls(configuration.routes)
 
     def find(self, host: str, target: str) -> Route | None:
-        """Return the route of a request target, or nothing.
+        """Return the route of a request target, or ``None``.
 
-        The query of the target takes no part, and neither do the port and
-        the letter case of the host.
+        The query of the target, the port and the letter case of the host
+        are ignored.
         """
-        by_prefix = self._by_prefix_by_host.get(_bare_host(host))
+        by_prefix = self._by_prefix_by_host.get(_normalised_host(host))
         if by_prefix is None:
             return None
         path = target.partition('?')[0]
-        # Every prefix ends with a slash, so only these can match.
+        # Every prefix ends with a slash, so no other part can match.
         end = path.rfind(_SLASH)
         while end >= 0:
             route = by_prefix.get(path[: end + 1])
@@ -44,7 +43,7 @@
         return None
 
 
-def _bare_host(host: str) -> str:
+def _normalised_host(host: str) -> str:
     name, colon, port = host.rpartition(':')
     if colon and port.isdigit():
         host = name
--- a/tests/routes/test_split.py
+++ b/tests/routes/test_split.py
@@ -1,4 +1,4 @@
-"""Dividing the requests of a route among services."""
+"""Distribution of a route's requests over services."""
 
 from collections import Counter
 
@@ -25,7 +25,7 @@
     )
 
 
-class TestSplitCursor:
+class TestWeightedRoundRobin:
     """Shares by weight."""
 
     @given(
@@ -37,18 +37,21 @@
         weights: list[int],
         count: int,
     ) -> None:
-        """After any number of requests each share is off by few."""
-        cursor = WeightedRoundRobin()
+        """After any number of requests each share is nearly exact.
+
+        It is off by at most one request for each destination.
+        """
+        splitter = WeightedRoundRobin()
         route = split(*weights)
-        chosen = Counter(cursor.choose(route) for _ in range(count))
+        chosen = Counter(splitter.choose(route) for _ in range(count))
         for at, weight in enumerate(weights):
             due = count * weight / sum(weights)
             assert abs(chosen[f's{at}'] - due) <= len(weights)
 
     def test_follows_new_weights(self) -> None:
-        """A new configuration's weights hold from its first request."""
-        cursor = WeightedRoundRobin()
+        """New weights apply from the first request on."""
+        splitter = WeightedRoundRobin()
         for _ in range(100):
-            cursor.choose(split(1, 99))
-        chosen = Counter(cursor.choose(split(9, 1)) for _ in range(100))
+            splitter.choose(split(1, 99))
+        chosen = Counter(splitter.choose(split(9, 1)) for _ in range(100))
         assert chosen['s0'] >= 88
--- a/tests/routes/test_table.py
+++ b/tests/routes/test_table.py
@@ -1,4 +1,4 @@
-"""Finding the route of a request."""
+"""Lookup of the route of a request."""
 
 import pytest
 
@@ -49,7 +49,7 @@
         target: str,
         name: str,
     ) -> None:
-        """The longest prefix of the path wins, whatever the query has."""
+        """The longest prefix of the path wins; the query is ignored."""
         found = TABLE.find(host, target)
         assert found is not None
         assert found.name == name
@@ -59,5 +59,5 @@
         [('c.example', '/x/'), ('b.example', '/'), ('b.example', '/zz/1')],
     )
     def test_finds_nothing_else(self, host: str, target: str) -> None:
-        """Another host, or a path below no prefix, has no route."""
+        """Another host, or a path under no prefix, has no route."""
         assert TABLE.find(host, target) is None
