--- a/bench/_protected.py
+++ b/bench/_protected.py
@@ -121,15 +121,17 @@
 
     def _finish(self, call: Call, info: AnswerInfo) -> None:
         _call, reply = self._running.pop(call.call_id)
-        was_good = info.outcome is Outcome.ANSWERED
+        was_complete = info.outcome is Outcome.ANSWERED
         self._learn(call)
-        self._handle(Finished(call.call_id, was_good=was_good))
+        self._handle(Finished(call.call_id, was_complete=was_complete))
         self._answer(call, reply, info)
 
     def _learn(self, call: Call) -> None:
         now = self.network.loop.now
-        told = self._thresholds.merged(now, call.asked)
-        self._thresholds.learn_needs(call.request.kind.name, list(told), now)
+        told = self._thresholds.advertised(now, call.asked)
+        self._thresholds.record_dependencies(
+            call.request.kind.name, list(told), now
+        )
 
     def _refuse(
         self,
@@ -147,7 +149,9 @@
     def _answer(self, call: Call, reply: Reply, info: AnswerInfo) -> None:
         info.unspent = call.unspent
         if self._variant.tells_callers:
-            told = self._thresholds.merged(self.network.loop.now, call.asked)
+            told = self._thresholds.advertised(
+                self.network.loop.now, call.asked
+            )
             own = {call.step.service: self.admission.threshold}
             info.threshold_by_service = told | own
         info.load = self.admission.load()
--- a/src/lovageshunt/node/gate/_events.py
+++ b/src/lovageshunt/node/gate/_events.py
@@ -85,7 +85,7 @@
     out.extend(state.quarantine.handle(ended, now))
     finished = Finished(
         event.ticket,
-        was_good=event.is_complete,
+        was_complete=event.is_complete,
         was_shed=event.was_shed,
     )
     freed = state.admission.handle(finished, now)
@@ -198,7 +198,7 @@
         state.thresholds.learn(service, threshold, now)
     if by_service:
         kind = arrival.event.context.kind
-        state.thresholds.learn_needs(kind, list(by_service), now)
+        state.thresholds.record_dependencies(kind, list(by_service), now)
 
 
 def _ending_of_abandoned(arrival: Arrival, reason: RefusalReason) -> Ending:
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -128,15 +128,15 @@
         self.demand.asked(order.kind)
         now = clock_now()
         self._resend_budget.requested(now)
-        waits_until = order.deadline
+        queue_deadline = order.deadline
         if order.importance > 0:
-            waits_until = now + _MAX_WAIT_PART * (order.deadline - now)
+            queue_deadline = now + _MAX_WAIT_PART * (order.deadline - now)
         self._handle(
             Arrived(
                 call_id=run.call_id,
                 level=level_of(order.importance, 0),
                 deadline=order.deadline,
-                waits_until=waits_until,
+                queue_deadline=queue_deadline,
             ),
         )
         return run
@@ -266,7 +266,7 @@
         self._handle(
             Finished(
                 run.call_id,
-                was_good=classified.outcome is Outcome.ANSWERED,
+                was_complete=classified.outcome is Outcome.ANSWERED,
                 was_shed=classified.outcome is Outcome.NOT_RUN,
             ),
         )
--- a/src/lovageshunt/sidecar/_fleet.py
+++ b/src/lovageshunt/sidecar/_fleet.py
@@ -8,7 +8,7 @@
 from lovageshunt._record import Record
 from lovageshunt.clock import now as clock_now
 from lovageshunt.links import Dialer, LoadNews, RunAnswer
-from lovageshunt.routing import Placement, RouteMember, Wanted
+from lovageshunt.routing import Placement, PlacementRequest, RouteMember
 
 _log = getLogger(__name__)
 #: Responses with this status or above count as errors of the target, except
@@ -145,7 +145,9 @@
             placement.heard(entry.target_id, report.load, clock_now())
         return entry
 
-    def choose(self, service: str, wanted: Wanted) -> TargetEntry | None:
+    def choose(
+        self, service: str, wanted: PlacementRequest
+    ) -> TargetEntry | None:
         """Return the target for a call, or ``None`` if none is eligible."""
         placement = self._placement_by_service.get(service)
         if placement is None:
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -16,8 +16,13 @@
     RetryPlace,
     may_retry,
 )
-from lovageshunt.routes import Configuration, Route, RouteTable, SplitCursor
-from lovageshunt.routing import Wanted
+from lovageshunt.routes import (
+    Configuration,
+    Route,
+    RouteTable,
+    WeightedRoundRobin,
+)
+from lovageshunt.routing import PlacementRequest
 from lovageshunt.sidecar._executor import Executor
 from lovageshunt.sidecar._fleet import Fleet, TargetEntry
 from lovageshunt.sidecar._header_names import HeaderNames
@@ -72,7 +77,7 @@
         self._responder = responder
         self._rng = rng
         self._table: RouteTable | None = None
-        self._cursor = SplitCursor()
+        self._cursor = WeightedRoundRobin()
         self.open_count = 0
         self._accepts_all_until = float('inf')
         self._stops_at = float('inf')
@@ -182,13 +187,13 @@
         else:
             budget.requested(call.started_at)
 
-    def _wanted(self, call: OriginCall, route: Route) -> Wanted:
-        return Wanted(
+    def _wanted(self, call: OriginCall, route: Route) -> PlacementRequest:
+        return PlacementRequest(
             kind=route.name,
             seconds=min(route.aim_seconds, route.timeout_seconds),
             may_explore=route.is_repeatable,
             excluded=call.excluded,
-            among=call.allowed_targets(route.most_attempts),
+            allowed=call.allowed_targets(route.most_attempts),
         )
 
     def _seconds_left(self, request: Request, route: Route) -> float:
