--- a/src/lovageshunt/pressure/_needs.py
+++ b/src/lovageshunt/pressure/_needs.py
@@ -81,7 +81,7 @@
         self.runs_by_service[service] = known + runs
 
 
-class NeedsBook:
+class DemandModel:
     """Adds up the slots and runs that a request needs at every service."""
 
     __slots__ = ('_by_kind', '_totals_by_kind')
--- a/src/lovageshunt/pressure/_root_gate.py
+++ b/src/lovageshunt/pressure/_root_gate.py
@@ -17,7 +17,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.pressure._callers import CallerBook
-from lovageshunt.pressure._needs import NeedsBook
+from lovageshunt.pressure._needs import DemandModel
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RetryNeeds
 from lovageshunt.pressure._shares import shares_by_importance
@@ -109,7 +109,7 @@
     def __init__(
         self,
         *,
-        needs: NeedsBook,
+        needs: DemandModel,
         arrivals: FleetRates,
         retries: FleetRates,
         callers: CallerBook,
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -16,9 +16,9 @@
 from lovageshunt.pressure import (
     CallerBook,
     CallGraph,
+    DemandModel,
     FleetRates,
     KindNeeds,
-    NeedsBook,
     RootGate,
     TargetRoom,
 )
@@ -84,7 +84,7 @@
         self._knowledge = knowledge
         self._broadcast = broadcast
         self._graph = CallGraph()
-        self._needs = NeedsBook()
+        self._needs = DemandModel()
         self._arrivals = FleetRates()
         self._retries = FleetRates()
         self._budgets = budgets
--- a/tests/pressure/test_needs.py
+++ b/tests/pressure/test_needs.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from lovageshunt.pressure import KindNeeds, NeedsBook
+from lovageshunt.pressure import DemandModel, KindNeeds
 
 
-def book() -> NeedsBook:
-    needs = NeedsBook()
+def book() -> DemandModel:
+    needs = DemandModel()
     needs.learn(
         'check',
         KindNeeds(
--- a/tests/pressure/test_root_gate.py
+++ b/tests/pressure/test_root_gate.py
@@ -9,9 +9,9 @@
 
 from lovageshunt.pressure import (
     CallerBook,
+    DemandModel,
     FleetRates,
     KindNeeds,
-    NeedsBook,
     RootGate,
     Shortage,
     TargetRoom,
@@ -57,8 +57,8 @@
         self.retries.learn('n', {'bottom': self.retries_per_second}, 1, now)
 
 
-def needs_of_the_load() -> NeedsBook:
-    needs = NeedsBook()
+def needs_of_the_load() -> DemandModel:
+    needs = DemandModel()
     for kind, service, seconds, calls in (
         ('buy', 'top', 0.1, {'sync': 4.0}),
         ('check', 'top', 0.1, {'sync': 8.0}),
