--- a/src/lovageshunt/pressure/__init__.py
+++ b/src/lovageshunt/pressure/__init__.py
@@ -10,7 +10,7 @@
 from lovageshunt.pressure._call_watch import CallWatch
 from lovageshunt.pressure._callers import CallerBook
 from lovageshunt.pressure._demand import DemandMeter, DemandSettings
-from lovageshunt.pressure._needs import DemandModel, KindNeeds
+from lovageshunt.pressure._needs import DemandModel, KindDemand
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RefusalMeter
 from lovageshunt.pressure._root_gate import RootGate, RootVerdict, Shortage
@@ -24,7 +24,7 @@
     'DemandMeter',
     'DemandSettings',
     'FleetRates',
-    'KindNeeds',
+    'KindDemand',
     'DemandModel',
     'RefusalMeter',
     'RootGate',
--- a/src/lovageshunt/pressure/_needs.py
+++ b/src/lovageshunt/pressure/_needs.py
@@ -11,7 +11,7 @@
 _WEIGHT: Final = 0.3
 
 
-class KindNeeds(Record):
+class KindDemand(Record):
     """What one run of a kind takes, as nodes beside its targets told.
 
     ``service`` runs it, ``seconds`` is how long it holds a slot at the target
@@ -40,7 +40,7 @@
 
     __slots__ = ('service', 'seconds_by_node', 'calls_by_kind')
 
-    def __init__(self, told: KindNeeds) -> None:
+    def __init__(self, told: KindDemand) -> None:
         """Begin with the word of one node."""
         self.service = told.service
         self.seconds_by_node = {told.node: told.seconds}
@@ -54,7 +54,7 @@
         """
         return harmonic_mean(list(self.seconds_by_node.values()))
 
-    def learn(self, told: KindNeeds) -> None:
+    def learn(self, told: KindDemand) -> None:
         """Take the word of another node, or the same one anew."""
         self.seconds_by_node[told.node] = told.seconds
         for called in self.calls_by_kind.keys() | told.calls_by_kind.keys():
@@ -91,7 +91,7 @@
         self._by_kind: dict[str, _Kind] = {}
         self._totals_by_kind: dict[str, _Totals] = {}
 
-    def learn(self, kind: str, told: KindNeeds) -> None:
+    def learn(self, kind: str, told: KindDemand) -> None:
         """Take the word of one node; nodes of a service are averaged."""
         self._totals_by_kind = {}
         known = self._by_kind.get(kind)
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -18,7 +18,7 @@
     CallGraph,
     DemandModel,
     FleetRates,
-    KindNeeds,
+    KindDemand,
     RootGate,
     TargetRoom,
 )
@@ -135,7 +135,7 @@
         )
         self._retries.learn(news.node, news.retries_by_service, 1, now)
         for kind, seconds in news.seconds_by_kind.items():
-            told = KindNeeds(
+            told = KindDemand(
                 node=news.node,
                 service=news.service,
                 seconds=seconds,
--- a/tests/pressure/test_needs.py
+++ b/tests/pressure/test_needs.py
@@ -2,26 +2,26 @@
 
 import pytest
 
-from lovageshunt.pressure import DemandModel, KindNeeds
+from lovageshunt.pressure import DemandModel, KindDemand
 
 
 def book() -> DemandModel:
     needs = DemandModel()
     needs.learn(
         'check',
-        KindNeeds(
+        KindDemand(
             node='n', service='a', seconds=0.2, calls_by_kind={'peek': 2}
         ),
     )
     needs.learn(
         'peek',
-        KindNeeds(
+        KindDemand(
             node='n', service='b', seconds=0.1, calls_by_kind={'sync': 4}
         ),
     )
     needs.learn(
         'sync',
-        KindNeeds(node='n', service='c', seconds=0.015, calls_by_kind={}),
+        KindDemand(node='n', service='c', seconds=0.015, calls_by_kind={}),
     )
     return needs
 
@@ -48,7 +48,7 @@
         needs = book()
         needs.learn(
             'sync',
-            KindNeeds(
+            KindDemand(
                 node='n', service='c', seconds=0.01, calls_by_kind={'peek': 0.4}
             ),
         )
@@ -59,6 +59,6 @@
         needs = book()
         needs.learn(
             'sync',
-            KindNeeds(node='n', service='d', seconds=0.5, calls_by_kind={}),
+            KindDemand(node='n', service='d', seconds=0.5, calls_by_kind={}),
         )
         assert 'c' not in needs.work_of('check')
--- a/tests/pressure/test_root_gate.py
+++ b/tests/pressure/test_root_gate.py
@@ -11,7 +11,7 @@
     CallerBook,
     DemandModel,
     FleetRates,
-    KindNeeds,
+    KindDemand,
     RootGate,
     Shortage,
     TargetRoom,
@@ -65,7 +65,7 @@
         ('view', 'other', 0.1, {}),
         ('sync', 'bottom', 0.01, {}),
     ):
-        told = KindNeeds(
+        told = KindDemand(
             node='n',
             service=service,
             seconds=seconds,
