--- a/src/lovageshunt/pressure/__init__.py
+++ b/src/lovageshunt/pressure/__init__.py
@@ -9,7 +9,7 @@
 from lovageshunt.pressure._call_graph import CallCounts, CallGraph
 from lovageshunt.pressure._call_watch import CallWatch
 from lovageshunt.pressure._callers import CallerBook
-from lovageshunt.pressure._demand import DemandMeter, DemandSettings
+from lovageshunt.pressure._demand import DemandSettings, TargetDemandMeter
 from lovageshunt.pressure._needs import DemandModel, KindDemand
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RefusalMeter
@@ -21,7 +21,7 @@
     'CallGraph',
     'CallWatch',
     'CallerBook',
-    'DemandMeter',
+    'TargetDemandMeter',
     'DemandSettings',
     'FleetRates',
     'KindDemand',
--- a/src/lovageshunt/pressure/_demand.py
+++ b/src/lovageshunt/pressure/_demand.py
@@ -56,7 +56,7 @@
         self.most_fall = most_fall
 
 
-class DemandMeter:
+class TargetDemandMeter:
     """Measures the work asked of one target and steers the share."""
 
     __slots__ = (
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -31,9 +31,9 @@
 from lovageshunt.links import RunAnswer, RunOrder
 from lovageshunt.pressure import (
     CallWatch,
-    DemandMeter,
     DemandSettings,
     RefusalMeter,
+    TargetDemandMeter,
 )
 from lovageshunt.retries import FleetRetryBudget
 from lovageshunt.sidecar._dialect import Dialect
@@ -82,7 +82,7 @@
         self.pool = ConnectionPool(host, port, _FIRST_CONNECTIONS)
         self._queue = TargetQueue(slots=slots)
         #: What is asked of the target, and what runs in it.
-        self.demand = DemandMeter(DemandSettings(), clock_now())
+        self.demand = TargetDemandMeter(DemandSettings(), clock_now())
         self.watch = CallWatch(clock_now())
         #: What the target refuses although there was a slot.
         self.refusals = RefusalMeter(clock_now())
--- a/tests/pressure/test_demand.py
+++ b/tests/pressure/test_demand.py
@@ -1,6 +1,6 @@
 """Measuring what is asked of a target."""
 
-from lovageshunt.pressure import DemandMeter, DemandSettings
+from lovageshunt.pressure import DemandSettings, TargetDemandMeter
 
 WINDOW = DemandSettings().window_seconds
 SLOTS = 20
@@ -9,7 +9,7 @@
 
 def share_after(offered: float, windows: int) -> float:
     """Play a demand of so many times the slots that follows the share."""
-    meter = DemandMeter(DemandSettings(), 0)
+    meter = TargetDemandMeter(DemandSettings(), 0)
     meter.ran('k', SECONDS)
     for window in range(1, windows + 1):
         rate = offered * meter.share * SLOTS / SECONDS
@@ -38,7 +38,7 @@
 
     def test_returns_when_the_load_is_gone(self) -> None:
         """Within five seconds of its end an overload is forgotten."""
-        meter = DemandMeter(DemandSettings(), 0)
+        meter = TargetDemandMeter(DemandSettings(), 0)
         meter.share = 0.3
         for window in range(1, int(5 / WINDOW) + 1):
             meter.advance(window * WINDOW, slots=SLOTS, backlog_slot_seconds=0)
@@ -46,7 +46,7 @@
 
     def test_takes_failed_runs_until_there_are_good_ones(self) -> None:
         """The time of a failed run is better than none, and gives way."""
-        meter = DemandMeter(DemandSettings(), 0)
+        meter = TargetDemandMeter(DemandSettings(), 0)
         meter.failed('k', 0.4)
         assert meter.seconds_by_kind == {'k': 0.4}
         meter.ran('k', 0.1)
@@ -55,7 +55,7 @@
 
     def test_counts_what_waits(self) -> None:
         """A queue lowers the share though nothing more arrives."""
-        meter = DemandMeter(DemandSettings(), 0)
+        meter = TargetDemandMeter(DemandSettings(), 0)
         for window in range(1, 4):
             meter.advance(
                 window * WINDOW,
@@ -66,7 +66,7 @@
 
     def test_learns_nothing_from_a_pause(self) -> None:
         """A window in which the process stood still moves nothing."""
-        meter = DemandMeter(DemandSettings(), 0)
+        meter = TargetDemandMeter(DemandSettings(), 0)
         meter.share = 0.5
         assert not meter.advance(10, slots=SLOTS, backlog_slot_seconds=0)
         assert meter.share == 0.5
