--- a/src/lovageshunt/pressure/__init__.py
+++ b/src/lovageshunt/pressure/__init__.py
@@ -14,7 +14,7 @@
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RefusalMeter
 from lovageshunt.pressure._root_gate import RootGate, RootVerdict, Shortage
-from lovageshunt.pressure._target_room import TargetRoom, TargetRooms
+from lovageshunt.pressure._target_room import TargetCapacity, TargetRooms
 
 __all__ = [
     'CallCounts',
@@ -30,6 +30,6 @@
     'RootGate',
     'RootVerdict',
     'Shortage',
-    'TargetRoom',
+    'TargetCapacity',
     'TargetRooms',
 ]
--- a/src/lovageshunt/pressure/_target_room.py
+++ b/src/lovageshunt/pressure/_target_room.py
@@ -11,7 +11,7 @@
 _MEMORY_SECONDS: Final = 2.0
 
 
-class TargetRoom(Record):
+class TargetCapacity(Record):
     """The room at one target.
 
     ``share`` is the share of its demand that it has room for, ``slots`` what
@@ -41,7 +41,7 @@
 
     __slots__ = ('room', 'at')
 
-    def __init__(self, *, room: TargetRoom, at: float) -> None:
+    def __init__(self, *, room: TargetCapacity, at: float) -> None:
         """Take both."""
         self.room = room
         self.at = at
@@ -65,7 +65,7 @@
         self,
         service: str,
         target_id: str,
-        room: TargetRoom,
+        room: TargetCapacity,
         now: float,
     ) -> None:
         """Take what a target has room for."""
@@ -90,7 +90,7 @@
             sum(room.refused_per_second for room in rooms),
         )
 
-    def _lately(self, service: str, now: float) -> list[TargetRoom]:
+    def _lately(self, service: str, now: float) -> list[TargetCapacity]:
         """Return what the targets of a service told lately."""
         by_target = self._heard_by_target_by_service.get(service, {})
         for target_id, heard in list(by_target.items()):
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -20,7 +20,7 @@
     FleetRates,
     KindDemand,
     RootGate,
-    TargetRoom,
+    TargetCapacity,
 )
 from lovageshunt.retries import FleetRetryBudgets
 from lovageshunt.sidecar._executor import Executor
@@ -114,7 +114,7 @@
         self.gate.rooms.heard(
             entry.service,
             entry.target_id,
-            TargetRoom(
+            TargetCapacity(
                 share=news.share,
                 slots=news.load.limit,
                 sent_per_second=news.sent_per_second,
--- a/tests/pressure/test_root_gate.py
+++ b/tests/pressure/test_root_gate.py
@@ -14,7 +14,7 @@
     KindDemand,
     RootGate,
     Shortage,
-    TargetRoom,
+    TargetCapacity,
 )
 
 IMPORTANCE = {'buy': 0, 'check': 2, 'view': 2}
@@ -45,7 +45,7 @@
 
     def tell(self, now: float) -> None:
         # A hundred times the slots and the load, for whole numbers of slots.
-        room = TargetRoom(
+        room = TargetCapacity(
             share=1,
             slots=self.slots,
             sent_per_second=1000,
