--- a/src/lovageshunt/pressure/__init__.py
+++ b/src/lovageshunt/pressure/__init__.py
@@ -14,7 +14,7 @@
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RefusalMeter
 from lovageshunt.pressure._root_gate import RootGate, RootVerdict, Shortage
-from lovageshunt.pressure._target_room import TargetCapacity, TargetRooms
+from lovageshunt.pressure._target_room import FleetCapacity, TargetCapacity
 
 __all__ = [
     'CallCounts',
@@ -31,5 +31,5 @@
     'RootVerdict',
     'Shortage',
     'TargetCapacity',
-    'TargetRooms',
+    'FleetCapacity',
 ]
--- a/src/lovageshunt/pressure/_root_gate.py
+++ b/src/lovageshunt/pressure/_root_gate.py
@@ -21,7 +21,7 @@
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RetryNeeds
 from lovageshunt.pressure._shares import shares_by_importance
-from lovageshunt.pressure._target_room import TargetRooms
+from lovageshunt.pressure._target_room import FleetCapacity
 
 #: How often the shares are worked out anew, in seconds.
 _PERIOD_SECONDS: Final = 0.1
@@ -121,7 +121,7 @@
         what its nodes may send again a second by service.
         """
         #: What the targets tell of their room.
-        self.rooms = TargetRooms()
+        self.rooms = FleetCapacity()
         self._needs = needs
         self._callers = callers
         self._arrivals = arrivals
--- a/src/lovageshunt/pressure/_target_room.py
+++ b/src/lovageshunt/pressure/_target_room.py
@@ -47,7 +47,7 @@
         self.at = at
 
 
-class TargetRooms:
+class FleetCapacity:
     """The latest word of every target, by service."""
 
     __slots__ = ('_heard_by_target_by_service',)
