--- a/src/lovageshunt/pressure/_root_gate.py
+++ b/src/lovageshunt/pressure/_root_gate.py
@@ -96,7 +96,7 @@
     """Decides at the first hop of each request."""
 
     __slots__ = (
-        'rooms',
+        'fleet_capacity',
         '_needs',
         '_arrivals',
         '_retries',
@@ -121,7 +121,7 @@
         what its nodes may send again a second by service.
         """
         #: What the targets tell of their room.
-        self.rooms = FleetCapacity()
+        self.fleet_capacity = FleetCapacity()
         self._needs = needs
         self._callers = callers
         self._arrivals = arrivals
@@ -156,12 +156,12 @@
             known.let_all_in()
         rate_by_kind = self._arrivals.rate_by_key(now)
         retries_by_service = self._retries.rate_by_key(now)
-        for service in self.rooms.services:
-            slots = self.rooms.slots_of(service, now)
+        for service in self.fleet_capacity.services:
+            slots = self.fleet_capacity.slots_of(service, now)
             if slots > 0:
                 uses = self._uses_of(service, rate_by_kind)
                 self._divide(service, Shortage.SLOTS, slots, uses)
-            accepted = self.rooms.accepted_of(service, now)
+            accepted = self.fleet_capacity.accepted_of(service, now)
             if accepted < 1:
                 retries = retries_by_service.get(service, 0)
                 uses = self._retries_of(service, accepted, rate_by_kind)
--- a/src/lovageshunt/pressure/_target_room.py
+++ b/src/lovageshunt/pressure/_target_room.py
@@ -74,20 +74,20 @@
 
     def slots_of(self, service: str, now: float) -> float:
         """Return the slots of a service that requests may use."""
-        rooms = self._lately(service, now)
-        if not rooms:
+        fleet_capacity = self._lately(service, now)
+        if not fleet_capacity:
             return 0
         # One target that is full while others have room is a matter of
         # placing, so the one in the middle speaks for all.
-        share = median_high(room.share for room in rooms)
-        return share * sum(room.slots for room in rooms)
+        share = median_high(room.share for room in fleet_capacity)
+        return share * sum(room.slots for room in fleet_capacity)
 
     def accepted_of(self, service: str, now: float) -> float:
         """Return the share of the calls that a service's targets accept."""
-        rooms = self._lately(service, now)
+        fleet_capacity = self._lately(service, now)
         return accepted_share(
-            sum(room.sent_per_second for room in rooms),
-            sum(room.refused_per_second for room in rooms),
+            sum(room.sent_per_second for room in fleet_capacity),
+            sum(room.refused_per_second for room in fleet_capacity),
         )
 
     def _lately(self, service: str, now: float) -> list[TargetCapacity]:
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -111,7 +111,7 @@
         entry = self._fleet.heard(news)
         if entry is None:
             return
-        self.gate.rooms.heard(
+        self.gate.fleet_capacity.heard(
             entry.service,
             entry.target_id,
             TargetCapacity(
--- a/tests/pressure/test_root_gate.py
+++ b/tests/pressure/test_root_gate.py
@@ -51,7 +51,7 @@
             sent_per_second=1000,
             refused_per_second=1000 * (1 - self.accepted),
         )
-        self.gate.rooms.heard('bottom', 't1', room, now)
+        self.gate.fleet_capacity.heard('bottom', 't1', room, now)
         counts = {kind: rate * 100 for kind, rate in RATES.items()}
         self.arrivals.learn('n', counts, 1, now)
         self.retries.learn('n', {'bottom': self.retries_per_second}, 1, now)
@@ -138,8 +138,8 @@
         """A target that tells nothing for long holds nobody back."""
         fleet = Fleet(0.1)
         fleet.tell(0)
-        assert fleet.gate.rooms.slots_of('bottom', 1) > 0
-        assert fleet.gate.rooms.slots_of('bottom', 10) == 0
+        assert fleet.gate.fleet_capacity.slots_of('bottom', 1) > 0
+        assert fleet.gate.fleet_capacity.slots_of('bottom', 10) == 0
         verdicts = [fleet.gate.verdict('check', 2, 10) for _ in range(50)]
         assert all(each.retry_seconds is None for each in verdicts)
 
