--- a/src/lovageshunt/pressure/__init__.py
+++ b/src/lovageshunt/pressure/__init__.py
@@ -13,7 +13,7 @@
 from lovageshunt.pressure._needs import DemandModel, KindDemand
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RefusalMeter
-from lovageshunt.pressure._root_gate import RootGate, RootVerdict, Shortage
+from lovageshunt.pressure._root_gate import RootAdmission, RootVerdict, Shortage
 from lovageshunt.pressure._target_room import FleetCapacity, TargetCapacity
 
 __all__ = [
@@ -27,7 +27,7 @@
     'KindDemand',
     'DemandModel',
     'RefusalMeter',
-    'RootGate',
+    'RootAdmission',
     'RootVerdict',
     'Shortage',
     'TargetCapacity',
--- a/src/lovageshunt/pressure/_root_gate.py
+++ b/src/lovageshunt/pressure/_root_gate.py
@@ -92,7 +92,7 @@
         self.shortage: Shortage | None = None
 
 
-class RootGate:
+class RootAdmission:
     """Decides at the first hop of each request."""
 
     __slots__ = (
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -19,7 +19,7 @@
     DemandModel,
     FleetRates,
     KindDemand,
-    RootGate,
+    RootAdmission,
     TargetCapacity,
 )
 from lovageshunt.retries import FleetRetryBudgets
@@ -91,7 +91,7 @@
         #: Tells the calls of targets from the requests of clients.
         self.callers = CallerBook()
         #: Decides at the first hop by what was told.
-        self.gate = RootGate(
+        self.gate = RootAdmission(
             needs=self._needs,
             arrivals=self._arrivals,
             retries=self._retries,
--- a/tests/pressure/test_root_gate.py
+++ b/tests/pressure/test_root_gate.py
@@ -12,7 +12,7 @@
     DemandModel,
     FleetRates,
     KindDemand,
-    RootGate,
+    RootAdmission,
     Shortage,
     TargetCapacity,
 )
@@ -35,7 +35,7 @@
         self.accepted = float(1)
         self.retries_per_second = float(0)
         self.callers = CallerBook()
-        self.gate = RootGate(
+        self.gate = RootAdmission(
             needs=needs_of_the_load(),
             arrivals=self.arrivals,
             retries=self.retries,
