--- a/src/lovageshunt/pressure/__init__.py
+++ b/src/lovageshunt/pressure/__init__.py
@@ -13,7 +13,11 @@
 from lovageshunt.pressure._needs import DemandModel, KindDemand
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RefusalMeter
-from lovageshunt.pressure._root_gate import RootAdmission, RootVerdict, Shortage
+from lovageshunt.pressure._root_gate import (
+    RootAdmission,
+    RootDecision,
+    Shortage,
+)
 from lovageshunt.pressure._target_room import FleetCapacity, TargetCapacity
 
 __all__ = [
@@ -28,7 +32,7 @@
     'DemandModel',
     'RefusalMeter',
     'RootAdmission',
-    'RootVerdict',
+    'RootDecision',
     'Shortage',
     'TargetCapacity',
     'FleetCapacity',
--- a/src/lovageshunt/pressure/_root_gate.py
+++ b/src/lovageshunt/pressure/_root_gate.py
@@ -51,7 +51,7 @@
 )
 
 
-class RootVerdict(Record):
+class RootDecision(Record):
     """``retry_seconds`` is when to come back, or nothing if it may go.
 
     ``service`` is the one that has no room, ``shortage`` of what, ``share``
@@ -130,7 +130,7 @@
         self._by_kind: dict[str, _Kind] = {}
         self._updated_at = float('-inf')
 
-    def verdict(self, kind: str, importance: int, now: float) -> RootVerdict:
+    def verdict(self, kind: str, importance: int, now: float) -> RootDecision:
         """Let a request in, or say when to come back."""
         known = self._by_kind.get(kind)
         if known is None:
@@ -140,9 +140,9 @@
         if now - self._updated_at >= _PERIOD_SECONDS:
             self._update(now)
         if known.share >= 1 or self._rng.random() < known.share:
-            return RootVerdict(service=known.service, share=known.share)
+            return RootDecision(service=known.service, share=known.share)
         spread = self._rng.random() + 1 / 2
-        return RootVerdict(
+        return RootDecision(
             retry_seconds=_RETRY_SECONDS * spread,
             service=known.service,
             shortage=known.shortage,
--- a/src/lovageshunt/sidecar/_answering.py
+++ b/src/lovageshunt/sidecar/_answering.py
@@ -4,7 +4,7 @@
 
 from lovageshunt.calls import Outcome
 from lovageshunt.links import RunAnswer
-from lovageshunt.pressure import RootVerdict
+from lovageshunt.pressure import RootDecision
 from lovageshunt.sidecar._journal import Journal
 from lovageshunt.sidecar._meters import Meters
 from lovageshunt.sidecar._origin_call import OriginCall
@@ -52,7 +52,7 @@
         call: OriginCall,
         reason: str,
         retry_ms: int,
-        verdict: RootVerdict | None = None,
+        verdict: RootDecision | None = None,
     ) -> None:
         """Answer that the request has not run and will not, and come back.
 
