--- a/src/lovageshunt/pressure/__init__.py
+++ b/src/lovageshunt/pressure/__init__.py
@@ -8,7 +8,7 @@
 
 from lovageshunt.pressure._call_graph import CallCounts, CallGraph
 from lovageshunt.pressure._call_watch import CallWatch
-from lovageshunt.pressure._callers import CallerBook
+from lovageshunt.pressure._callers import InternalCallDetector
 from lovageshunt.pressure._demand import DemandSettings, TargetDemandMeter
 from lovageshunt.pressure._needs import DemandModel, KindDemand
 from lovageshunt.pressure._rates import FleetRates
@@ -24,7 +24,7 @@
     'CallCounts',
     'CallGraph',
     'CallWatch',
-    'CallerBook',
+    'InternalCallDetector',
     'TargetDemandMeter',
     'DemandSettings',
     'FleetRates',
--- a/src/lovageshunt/pressure/_callers.py
+++ b/src/lovageshunt/pressure/_callers.py
@@ -20,7 +20,7 @@
 _ByNode = dict[str, dict[str, float]]
 
 
-class CallerBook:
+class InternalCallDetector:
     """Counts of requests by kind, at the nodes of each service."""
 
     __slots__ = ('_count_by_node_by_service', '_inner')
--- a/src/lovageshunt/pressure/_root_gate.py
+++ b/src/lovageshunt/pressure/_root_gate.py
@@ -16,7 +16,7 @@
 from typing import Final
 
 from lovageshunt._record import Record
-from lovageshunt.pressure._callers import CallerBook
+from lovageshunt.pressure._callers import InternalCallDetector
 from lovageshunt.pressure._needs import DemandModel
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RetryNeeds
@@ -112,7 +112,7 @@
         needs: DemandModel,
         arrivals: FleetRates,
         retries: FleetRates,
-        callers: CallerBook,
+        callers: InternalCallDetector,
         rng: Random,
     ) -> None:
         """Begin with room everywhere.
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -14,10 +14,10 @@
     encode_message,
 )
 from lovageshunt.pressure import (
-    CallerBook,
     CallGraph,
     DemandModel,
     FleetRates,
+    InternalCallDetector,
     KindDemand,
     RootAdmission,
     TargetCapacity,
@@ -89,7 +89,7 @@
         self._retries = FleetRates()
         self._budgets = budgets
         #: Tells the calls of targets from the requests of clients.
-        self.callers = CallerBook()
+        self.callers = InternalCallDetector()
         #: Decides at the first hop by what was told.
         self.gate = RootAdmission(
             needs=self._needs,
--- a/tests/pressure/test_callers.py
+++ b/tests/pressure/test_callers.py
@@ -1,13 +1,13 @@
 """Telling the calls of targets from the requests of clients."""
 
-from lovageshunt.pressure import CallerBook
+from lovageshunt.pressure import InternalCallDetector
 
 #: Clients send looks everywhere; only the targets of ``a`` send peeks.
 LOOKS = 20
 
 
-def book(peeks_at_b: int = 0, reports: int = 3) -> CallerBook:
-    callers = CallerBook()
+def book(peeks_at_b: int = 0, reports: int = 3) -> InternalCallDetector:
+    callers = InternalCallDetector()
     for _ in range(reports):
         callers.learn('a', 'a1', {'look': LOOKS, 'peek': 400})
         callers.learn('a', 'a2', {'look': LOOKS, 'peek': 300})
@@ -29,7 +29,7 @@
 
     def test_takes_no_word_for_it_too_soon(self) -> None:
         """Without a word from a second service nothing is inner."""
-        callers = CallerBook()
+        callers = InternalCallDetector()
         callers.learn('a', 'a1', {'look': 99, 'peek': 99})
         assert not callers.is_inner('peek')
 
--- a/tests/pressure/test_root_gate.py
+++ b/tests/pressure/test_root_gate.py
@@ -8,9 +8,9 @@
 from random import Random
 
 from lovageshunt.pressure import (
-    CallerBook,
     DemandModel,
     FleetRates,
+    InternalCallDetector,
     KindDemand,
     RootAdmission,
     Shortage,
@@ -34,7 +34,7 @@
         self.retries = FleetRates()
         self.accepted = float(1)
         self.retries_per_second = float(0)
-        self.callers = CallerBook()
+        self.callers = InternalCallDetector()
         self.gate = RootAdmission(
             needs=needs_of_the_load(),
             arrivals=self.arrivals,
