--- a/src/lovageshunt/pressure/_callers.py
+++ b/src/lovageshunt/pressure/_callers.py
@@ -51,7 +51,7 @@
             for node in by_node.keys() - nodes:
                 by_node.pop(node)
 
-    def is_inner(self, kind: str) -> bool:
+    def is_internal(self, kind: str) -> bool:
         """Tell whether only targets send requests of a kind."""
         return kind in self._inner
 
--- a/src/lovageshunt/pressure/_root_gate.py
+++ b/src/lovageshunt/pressure/_root_gate.py
@@ -246,5 +246,7 @@
     def _root_kinds(self) -> list[str]:
         """Return the kinds that clients send."""
         return [
-            kind for kind in self._by_kind if not self._callers.is_inner(kind)
+            kind
+            for kind in self._by_kind
+            if not self._callers.is_internal(kind)
         ]
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -114,8 +114,8 @@
             self._answers.not_run(call, RefusalReason.LEAVING, _LEAVING_MS)
             self._end(call)
             return call
-        call.is_inner = self._reports.arrived(route.name, call.started_at)
-        if not call.is_inner and not self._is_let_in(call, route):
+        call.is_internal = self._reports.arrived(route.name, call.started_at)
+        if not call.is_internal and not self._is_let_in(call, route):
             return call
         self._count(call)
         delay = call.deadline - call.started_at + _OVERDUE_SECONDS
@@ -164,7 +164,7 @@
         large a part is taken for repeats as of the runs in progress.
         """
         budget = self._budgets.of(call.service)
-        share = self._executor.repeat_share if call.is_inner else 0
+        share = self._executor.repeat_share if call.is_internal else 0
         call.is_repeat = self._rng.random() < share
         if call.is_repeat:
             budget.repeated_above(call.started_at)
@@ -198,7 +198,7 @@
             target_id=entry.target_id,
             kind=route.name,
             caller_service=self._own_service,
-            importance=0 if call.is_inner else 1 + route.importance,
+            importance=0 if call.is_internal else 1 + route.importance,
             is_repeatable=route.is_repeatable,
             is_repeat=call.is_repeat or call.has_run,
             deadline=call.deadline,
--- a/src/lovageshunt/sidecar/_origin_call.py
+++ b/src/lovageshunt/sidecar/_origin_call.py
@@ -32,7 +32,7 @@
     """A request from its arrival to its answer.
 
     ``has_run`` tells that an attempt may have run, so that the request can no
-    longer be said not to have run. ``is_inner`` tells that a target sent it,
+    longer be said not to have run. ``is_internal`` tells that a target sent it,
     ``is_repeat`` that it did so in a run that is counted as a repeat.
     ``sent_to`` are the targets that it was sent to, ``excluded`` those that it
     is not sent to next.
@@ -54,7 +54,7 @@
         'attempt',
         'overdue',
         'has_run',
-        'is_inner',
+        'is_internal',
         'is_repeat',
         'is_over',
     )
@@ -81,7 +81,7 @@
         self.attempt: Attempt | None = None
         self.overdue: TimerHandle | None = None
         self.has_run = False
-        self.is_inner = False
+        self.is_internal = False
         self.is_repeat = False
         self.is_over = False
 
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -146,10 +146,10 @@
     def arrived(self, kind: str, now: float) -> bool:
         """Count a request from this VM; tell whether a target sent it."""
         self._arrived_by_kind[kind] = self._arrived_by_kind.get(kind, 0) + 1
-        is_inner = self.callers.is_inner(kind)
-        if is_inner:
+        is_internal = self.callers.is_internal(kind)
+        if is_internal:
             self._executor.watch.called(kind, now)
-        return is_inner
+        return is_internal
 
     def advance(self) -> None:
         """Close the windows that are over, and tell nodes what changed."""
