--- a/src/lovageshunt/pressure/__init__.py
+++ b/src/lovageshunt/pressure/__init__.py
@@ -7,7 +7,7 @@
 """
 
 from lovageshunt.pressure._call_graph import CallCounts, CallGraph
-from lovageshunt.pressure._call_watch import CallWatch
+from lovageshunt.pressure._call_watch import CallSampler
 from lovageshunt.pressure._callers import InternalCallDetector
 from lovageshunt.pressure._demand import DemandSettings, TargetDemandMeter
 from lovageshunt.pressure._needs import DemandModel, KindDemand
@@ -23,7 +23,7 @@
 __all__ = [
     'CallCounts',
     'CallGraph',
-    'CallWatch',
+    'CallSampler',
     'InternalCallDetector',
     'TargetDemandMeter',
     'DemandSettings',
--- a/src/lovageshunt/pressure/_call_graph.py
+++ b/src/lovageshunt/pressure/_call_graph.py
@@ -11,7 +11,7 @@
 from lovageshunt._record import Record
 
 #: The share of the sums that a window leaves: with the windows of a
-#: ``CallWatch`` they count for about 15 s.
+#: ``CallSampler`` they count for about 15 s.
 _FADE: Final = 0.9967
 #: Added to the diagonal, so that kinds that never run alone are not torn
 #: apart by chance, in runs squared.
--- a/src/lovageshunt/pressure/_call_watch.py
+++ b/src/lovageshunt/pressure/_call_watch.py
@@ -12,7 +12,7 @@
 _HELD_WINDOWS: Final = 18
 
 
-class CallWatch:
+class CallSampler:
     """Spreads each run over the windows in which it was in progress.
 
     A run counts for one in all, however long it took, so that calls a run
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -30,7 +30,7 @@
 )
 from lovageshunt.links import RunAnswer, RunOrder
 from lovageshunt.pressure import (
-    CallWatch,
+    CallSampler,
     DemandSettings,
     RefusalMeter,
     TargetDemandMeter,
@@ -83,7 +83,7 @@
         self._queue = TargetQueue(slots=slots)
         #: What is asked of the target, and what runs in it.
         self.demand = TargetDemandMeter(DemandSettings(), clock_now())
-        self.watch = CallWatch(clock_now())
+        self.watch = CallSampler(clock_now())
         #: What the target refuses although there was a slot.
         self.refusals = RefusalMeter(clock_now())
         self._run_by_call_id: dict[str, Run] = {}
--- a/tests/pressure/test_call_graph.py
+++ b/tests/pressure/test_call_graph.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from lovageshunt.pressure import CallCounts, CallGraph, CallWatch
+from lovageshunt.pressure import CallCounts, CallGraph, CallSampler
 
 #: One target: views run long and call nothing, peeks call four times.
 SECONDS = {'view': 0.15, 'peek': 0.08}
@@ -21,7 +21,7 @@
     """
     rng = Random(seed)
     graph = CallGraph()
-    watch = CallWatch(0)
+    watch = CallSampler(0)
     events: list[tuple[float, str, str, float]] = []
     for kind, rate in RATES.items():
         now = 0.0
@@ -66,7 +66,7 @@
         """Runs that fail after their first call do not lower the count."""
         rng = Random(2)
         graph = CallGraph()
-        watch = CallWatch(0)
+        watch = CallSampler(0)
         now = 0.0
         while now < 30:
             now += rng.expovariate(100)
@@ -93,7 +93,7 @@
     def test_learns_from_failed_runs_while_there_are_no_others(self) -> None:
         """When every run fails below, it is still known what they call."""
         graph = CallGraph()
-        watch = CallWatch(0)
+        watch = CallSampler(0)
         for at in range(400):
             now = at * 0.02
             for counts in watch.take_windows(now):
