--- a/bench/_sender.py
+++ b/bench/_sender.py
@@ -16,7 +16,7 @@
     RetryBudget,
     RetryBudgetSettings,
     RetryVerdict,
-    may_retry,
+    decide_retry,
 )
 from lovageshunt.routing import RouteMember, Router
 
@@ -300,7 +300,7 @@
         self._reply(info)
 
     def _verdict(self, info: AnswerInfo, now: float) -> RetryVerdict:
-        return may_retry(
+        return decide_retry(
             Failure(
                 outcome=info.outcome,
                 reason=info.reason,
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -37,7 +37,7 @@
     QuarantineSettings,
     RetryBudget,
     RetryBudgetSettings,
-    may_retry,
+    decide_retry,
 )
 from lovageshunt.routing import RouteMember, Router
 
@@ -160,7 +160,7 @@
         now = number / 1000
         thresholds.verdict('records', 200_000, now)
         budget.succeeded(now)
-        may_retry(
+        decide_retry(
             Failure(
                 outcome=Outcome.FAILED,
                 reason=RefusalReason.CONNECTION_LOST,
--- a/bench/retry_shares.py
+++ b/bench/retry_shares.py
@@ -19,7 +19,7 @@
     RetryBudget,
     RetryBudgetSettings,
     allowance_for,
-    may_retry,
+    decide_retry,
 )
 
 PoolFactory = Callable[[int], AllowancePool]
@@ -163,7 +163,7 @@
             pool.give_back(share=share, unspent=answer.unspent)
             failure = answer.failure
             failure.tries = tries
-            verdict = may_retry(
+            verdict = decide_retry(
                 failure,
                 now=0,
                 deadline=1000,
--- a/src/lovageshunt/client/_attempts.py
+++ b/src/lovageshunt/client/_attempts.py
@@ -17,7 +17,7 @@
     CallTally,
     Failure,
     RetryPlace,
-    may_retry,
+    decide_retry,
 )
 from lovageshunt.routing import RouteMember
 from lovageshunt.rules import KindRule
@@ -266,7 +266,7 @@
             outcome = self._tally.outcome
         self._context.suspicion = max(self._context.suspicion, said.suspicion)
         at = now()
-        verdict = may_retry(
+        verdict = decide_retry(
             Failure(
                 outcome=outcome,
                 reason=said.reason,
--- a/src/lovageshunt/retries/__init__.py
+++ b/src/lovageshunt/retries/__init__.py
@@ -28,7 +28,7 @@
     Failure,
     RetryPlace,
     RetryVerdict,
-    may_retry,
+    decide_retry,
 )
 
 __all__ = [
@@ -58,6 +58,6 @@
     'TargetCrashed',
     'TellPeers',
     'allowance_for',
-    'may_retry',
+    'decide_retry',
     'merge_calls',
 ]
--- a/src/lovageshunt/retries/_verdict.py
+++ b/src/lovageshunt/retries/_verdict.py
@@ -114,7 +114,7 @@
         return self.place is not None
 
 
-def may_retry(
+def decide_retry(
     failure: Failure,
     *,
     now: float,
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -14,7 +14,7 @@
     Failure,
     FleetRetryBudgets,
     RetryPlace,
-    may_retry,
+    decide_retry,
 )
 from lovageshunt.routes import Configuration, Route, RouteTable, SplitCursor
 from lovageshunt.routing import Wanted
@@ -265,7 +265,7 @@
         is_shed = answer.reason is RefusalReason.SHED
         if other is None or is_shed and not budget.keeps_pace(clock_now()):
             return False
-        verdict = may_retry(
+        verdict = decide_retry(
             Failure(
                 outcome=answer.outcome,
                 reason=answer.reason,
--- a/tests/retries/test_verdict.py
+++ b/tests/retries/test_verdict.py
@@ -11,12 +11,12 @@
     RetryBudget,
     RetryBudgetSettings,
     RetryPlace,
-    may_retry,
+    decide_retry,
 )
 
 
 def _verdict(failure, *, is_repeatable=True, left=1, deadline=10, floor=1):
-    return may_retry(
+    return decide_retry(
         failure,
         now=0,
         deadline=deadline,
