--- a/bench/_sender.py
+++ b/bench/_sender.py
@@ -15,7 +15,7 @@
     Failure,
     RetryBudget,
     RetryBudgetSettings,
-    RetryVerdict,
+    RetryDecision,
     decide_retry,
 )
 from lovageshunt.routing import RouteMember, Router
@@ -299,7 +299,7 @@
         self._parent.unspent = self._pool.unspent
         self._reply(info)
 
-    def _verdict(self, info: AnswerInfo, now: float) -> RetryVerdict:
+    def _verdict(self, info: AnswerInfo, now: float) -> RetryDecision:
         return decide_retry(
             Failure(
                 outcome=info.outcome,
--- a/src/lovageshunt/retries/__init__.py
+++ b/src/lovageshunt/retries/__init__.py
@@ -26,8 +26,8 @@
 from lovageshunt.retries._tally import CallTally, merge_calls
 from lovageshunt.retries._verdict import (
     Failure,
+    RetryDecision,
     RetryPlace,
-    RetryVerdict,
     decide_retry,
 )
 
@@ -52,7 +52,7 @@
     'RetryBudget',
     'RetryBudgetSettings',
     'RetryPlace',
-    'RetryVerdict',
+    'RetryDecision',
     'SuspectReport',
     'Suspicion',
     'TargetCrashed',
--- a/src/lovageshunt/retries/_verdict.py
+++ b/src/lovageshunt/retries/_verdict.py
@@ -93,7 +93,7 @@
         self.other_targets = other_targets
 
 
-class RetryVerdict(Record):
+class RetryDecision(Record):
     """``place`` is ``None`` when the failure travels up as it is."""
 
     __slots__ = ('place', 'delay_seconds')
@@ -124,7 +124,7 @@
     budget: RetryBudget | FleetRetryBudget,
     typical_seconds: float,
     random: Random,
-) -> RetryVerdict:
+) -> RetryDecision:
     """Decide on a retry and, when it is to be made, spend it.
 
     A retry is made only where the failure arose at this hop's own call, the
@@ -133,14 +133,14 @@
     """
     place = _place_of(failure, is_repeatable=is_repeatable)
     if place is None:
-        return RetryVerdict()
+        return RetryDecision()
     delay = _delay_of(failure, random)
     if now + delay + typical_seconds > deadline:
-        return RetryVerdict()
+        return RetryDecision()
     if not budget.may_spend(now) or not pool.spend_retry():
-        return RetryVerdict()
+        return RetryDecision()
     budget.spend(now)
-    return RetryVerdict(place=place, delay_seconds=delay)
+    return RetryDecision(place=place, delay_seconds=delay)
 
 
 def _place_of(failure: Failure, *, is_repeatable: bool) -> RetryPlace | None:
