--- a/bench/_sender.py
+++ b/bench/_sender.py
@@ -12,7 +12,7 @@
 from lovageshunt.calls import AnswerInfo, Outcome, RefusalReason
 from lovageshunt.retries import (
     AllowancePool,
-    Failure,
+    AttemptFailure,
     RetryBudget,
     RetryBudgetSettings,
     RetryDecision,
@@ -301,7 +301,7 @@
 
     def _verdict(self, info: AnswerInfo, now: float) -> RetryDecision:
         return decide_retry(
-            Failure(
+            AttemptFailure(
                 outcome=info.outcome,
                 reason=info.reason,
                 retry_after_ms=info.retry_after_ms,
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -32,7 +32,7 @@
 from lovageshunt.node.gate._messages import CallArrived, CallEnded
 from lovageshunt.retries import (
     AllowancePool,
-    Failure,
+    AttemptFailure,
     Quarantine,
     QuarantineSettings,
     RetryBudget,
@@ -161,7 +161,7 @@
         thresholds.verdict('records', 200_000, now)
         budget.succeeded(now)
         decide_retry(
-            Failure(
+            AttemptFailure(
                 outcome=Outcome.FAILED,
                 reason=RefusalReason.CONNECTION_LOST,
             ),
--- a/bench/retry_shares.py
+++ b/bench/retry_shares.py
@@ -15,7 +15,7 @@
 from lovageshunt.calls import Outcome, RefusalReason
 from lovageshunt.retries import (
     AllowancePool,
-    Failure,
+    AttemptFailure,
     RetryBudget,
     RetryBudgetSettings,
     allowance_for,
@@ -56,7 +56,7 @@
 
     __slots__ = ('failure', 'unspent')
 
-    def __init__(self, *, failure: Failure, unspent: int) -> None:
+    def __init__(self, *, failure: AttemptFailure, unspent: int) -> None:
         """Take the end of the attempt and what it gives back."""
         self.failure = failure
         self.unspent = unspent
@@ -103,7 +103,7 @@
         """Run one attempt; its calls below name it in their own paths."""
         self.arrivals[path] += 1
         if self._random.random() < self._odds.not_run:
-            leaving = Failure(
+            leaving = AttemptFailure(
                 outcome=Outcome.NOT_RUN,
                 reason=RefusalReason.LEAVING,
             )
@@ -111,7 +111,7 @@
         pool = self._pool_factory(share)
         is_whole = self._run_below(f'{path}.{number}', graph, pool)
         if self._random.random() < self._odds.lost:
-            lost = Failure(
+            lost = AttemptFailure(
                 outcome=Outcome.UNKNOWN,
                 reason=RefusalReason.CONNECTION_LOST,
             )
@@ -121,18 +121,18 @@
             unspent=pool.unspent,
         )
 
-    def _end(self, *, is_whole: bool) -> Failure:
+    def _end(self, *, is_whole: bool) -> AttemptFailure:
         if not is_whole:
-            return Failure(
+            return AttemptFailure(
                 outcome=Outcome.FAILED,
                 reason=RefusalReason.RETRY_BOUND,
             )
         if self._random.random() < self._odds.failed:
-            return Failure(
+            return AttemptFailure(
                 outcome=Outcome.FAILED,
                 reason=RefusalReason.TARGET_FAILED,
             )
-        return Failure(outcome=Outcome.ANSWERED)
+        return AttemptFailure(outcome=Outcome.ANSWERED)
 
     def _run_below(self, path: str, graph: Graph, pool: AllowancePool) -> bool:
         for at, group in enumerate(graph.groups):
--- a/src/lovageshunt/client/_attempts.py
+++ b/src/lovageshunt/client/_attempts.py
@@ -14,8 +14,8 @@
 from lovageshunt.idempotency import attempt_to_send
 from lovageshunt.retries import (
     AllowancePool,
+    AttemptFailure,
     CallTally,
-    Failure,
     RetryPlace,
     decide_retry,
 )
@@ -267,7 +267,7 @@
         self._context.suspicion = max(self._context.suspicion, said.suspicion)
         at = now()
         verdict = decide_retry(
-            Failure(
+            AttemptFailure(
                 outcome=outcome,
                 reason=said.reason,
                 retry_after_ms=said.retry_after_ms,
--- a/src/lovageshunt/retries/__init__.py
+++ b/src/lovageshunt/retries/__init__.py
@@ -25,7 +25,7 @@
 )
 from lovageshunt.retries._tally import CallTally, merge_calls
 from lovageshunt.retries._verdict import (
-    Failure,
+    AttemptFailure,
     RetryDecision,
     RetryPlace,
     decide_retry,
@@ -38,7 +38,7 @@
     'CallStarting',
     'CallTally',
     'Condemn',
-    'Failure',
+    'AttemptFailure',
     'FleetBudgetSettings',
     'FleetRetryBudget',
     'FleetRetryBudgets',
--- a/src/lovageshunt/retries/_verdict.py
+++ b/src/lovageshunt/retries/_verdict.py
@@ -58,7 +58,7 @@
     HOME = 'home'
 
 
-class Failure(Record):
+class AttemptFailure(Record):
     """How one attempt ended, as the hop that made it saw it.
 
     ``tries`` counts the attempts that this hop made. ``was_retried_below``
@@ -115,7 +115,7 @@
 
 
 def decide_retry(
-    failure: Failure,
+    failure: AttemptFailure,
     *,
     now: float,
     deadline: float,
@@ -143,7 +143,9 @@
     return RetryDecision(place=place, delay_seconds=delay)
 
 
-def _place_of(failure: Failure, *, is_repeatable: bool) -> RetryPlace | None:
+def _place_of(
+    failure: AttemptFailure, *, is_repeatable: bool
+) -> RetryPlace | None:
     if failure.outcome is Outcome.ANSWERED or failure.was_retried_below:
         return None
     if failure.outcome is Outcome.NOT_RUN:
@@ -156,7 +158,7 @@
     return None
 
 
-def _place_of_not_run(failure: Failure) -> RetryPlace | None:
+def _place_of_not_run(failure: AttemptFailure) -> RetryPlace | None:
     if failure.reason not in _MOVES_ON or not failure.other_targets:
         return None
     is_full = failure.reason is RefusalReason.QUEUE_FULL
@@ -168,7 +170,7 @@
     return RetryPlace.OTHER
 
 
-def _delay_of(failure: Failure, random: Random) -> float:
+def _delay_of(failure: AttemptFailure, random: Random) -> float:
     if failure.outcome is Outcome.NOT_RUN:
         return 0
     asked = failure.retry_after_ms / _MS_PER_SECOND
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -11,7 +11,7 @@
 from lovageshunt.links import RunAnswer, RunOrder
 from lovageshunt.retries import (
     AllowancePool,
-    Failure,
+    AttemptFailure,
     FleetRetryBudgets,
     RetryPlace,
     decide_retry,
@@ -266,7 +266,7 @@
         if other is None or is_shed and not budget.keeps_pace(clock_now()):
             return False
         verdict = decide_retry(
-            Failure(
+            AttemptFailure(
                 outcome=answer.outcome,
                 reason=answer.reason,
                 tries=call.tries,
--- a/tests/retries/test_verdict.py
+++ b/tests/retries/test_verdict.py
@@ -7,7 +7,7 @@
 from lovageshunt.calls import Outcome, RefusalReason
 from lovageshunt.retries import (
     AllowancePool,
-    Failure,
+    AttemptFailure,
     RetryBudget,
     RetryBudgetSettings,
     RetryPlace,
@@ -29,11 +29,11 @@
 
 
 def _leaving():
-    return Failure(outcome=Outcome.NOT_RUN, reason=RefusalReason.LEAVING)
+    return AttemptFailure(outcome=Outcome.NOT_RUN, reason=RefusalReason.LEAVING)
 
 
 def _lost():
-    return Failure(
+    return AttemptFailure(
         outcome=Outcome.UNKNOWN,
         reason=RefusalReason.CONNECTION_LOST,
     )
@@ -52,7 +52,7 @@
 
     def test_overload_travels_up(self):
         """A threshold holds at every target, so another try is no help."""
-        overload = Failure(
+        overload = AttemptFailure(
             outcome=Outcome.NOT_RUN,
             reason=RefusalReason.OVERLOAD,
         )
@@ -61,7 +61,9 @@
 
     def test_full_queue_is_tried_elsewhere_once(self):
         """One more target may have room; two full queues are overload."""
-        full = Failure(outcome=Outcome.NOT_RUN, reason=RefusalReason.QUEUE_FULL)
+        full = AttemptFailure(
+            outcome=Outcome.NOT_RUN, reason=RefusalReason.QUEUE_FULL
+        )
         assert _verdict(full).is_retry
 
         full.tries = 2
@@ -70,7 +72,9 @@
 
     def test_refusal_of_a_target_with_room_is_tried_again(self):
         """Its next answer may be another; six in a row are enough."""
-        shed = Failure(outcome=Outcome.NOT_RUN, reason=RefusalReason.SHED)
+        shed = AttemptFailure(
+            outcome=Outcome.NOT_RUN, reason=RefusalReason.SHED
+        )
         for tries in range(1, 6):
             shed.tries = tries
             assert _verdict(shed, is_repeatable=False).is_retry
@@ -79,7 +83,7 @@
 
     def test_failure_of_a_deeper_hop_travels_up(self):
         """The hop nearest to the failure has retried it already."""
-        failed = Failure(
+        failed = AttemptFailure(
             outcome=Outcome.FAILED,
             reason=RefusalReason.TARGET_FAILED,
             was_retried_below=True,
@@ -95,7 +99,7 @@
 
     def test_failed_call_that_must_run_once_is_not_retried(self):
         """Some of it ran."""
-        failed = Failure(
+        failed = AttemptFailure(
             outcome=Outcome.FAILED,
             reason=RefusalReason.TARGET_FAILED,
         )
