--- a/src/lovageshunt/retries/_fleet_budget.py
+++ b/src/lovageshunt/retries/_fleet_budget.py
@@ -72,7 +72,7 @@
         """Count a first request."""
         self._bucket(now).requests += 1
 
-    def repeated_above(self, now: float) -> None:
+    def count_nested_retry(self, now: float) -> None:
         """Count a call that a run makes which was a repeat itself.
 
         It is a repeat at the service that is called, and nobody asks whether
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -167,7 +167,7 @@
         share = self._executor.repeat_share if call.is_internal else 0
         call.is_repeat = self._rng.random() < share
         if call.is_repeat:
-            budget.repeated_above(call.started_at)
+            budget.count_nested_retry(call.started_at)
         else:
             budget.requested(call.started_at)
 
--- a/tests/retries/test_fleet_budget.py
+++ b/tests/retries/test_fleet_budget.py
@@ -76,7 +76,7 @@
         budget = budget_of(1)
         for _ in range(28):
             assert budget.may_spend(0)
-            budget.repeated_above(0)
+            budget.count_nested_retry(0)
         assert not budget.may_spend(0)
 
     def test_goes_on_while_requests_become_few(self) -> None:
