--- a/src/lovageshunt/node/gate/_actions.py
+++ b/src/lovageshunt/node/gate/_actions.py
@@ -25,7 +25,7 @@
     CallStarting,
     Condemn,
     Proceed,
-    RefuseForNow,
+    RefuseTemporarily,
 )
 
 
@@ -139,7 +139,7 @@
 
 @act.register
 def _refuse_for_now(
-    action: RefuseForNow,
+    action: RefuseTemporarily,
     state: GateState,
     now: float,
     out: list[Record],
@@ -162,7 +162,7 @@
 ) -> None:
     arrival = state.by_ticket[action.call_id]
     if not arrival.event.is_repeatable:
-        busy = RefuseForNow(
+        busy = RefuseTemporarily(
             call_id=action.call_id,
             retry_after_ms=action.retry_after_ms,
         )
--- a/src/lovageshunt/retries/_quarantine.py
+++ b/src/lovageshunt/retries/_quarantine.py
@@ -18,7 +18,7 @@
     Proceed,
     QuarantineAction,
     QuarantineEvent,
-    RefuseForNow,
+    RefuseTemporarily,
     SuspectReport,
     Suspicion,
     TargetCrashed,
@@ -118,7 +118,9 @@
             return [Condemn(call_id=event.call_id, retry_after_ms=left_ms)]
         if self._trial is not None or now < case.trial_until:
             busy_ms = self._settings.busy_retry_ms
-            return [RefuseForNow(call_id=event.call_id, retry_after_ms=busy_ms)]
+            return [
+                RefuseTemporarily(call_id=event.call_id, retry_after_ms=busy_ms)
+            ]
         self._trial = event.call_id
         self._flight_by_id[event.call_id] = event
         return [
--- a/src/lovageshunt/retries/_quarantine_messages.py
+++ b/src/lovageshunt/retries/_quarantine_messages.py
@@ -95,7 +95,7 @@
         self.call_id = call_id
 
 
-class RefuseForNow(Record):
+class RefuseTemporarily(Record):
     """Answer *not run*, quarantine: another suspect, or this one, runs."""
 
     __slots__ = ('call_id', 'retry_after_ms')
@@ -128,4 +128,4 @@
 
 
 QuarantineEvent = CallStarting | CallEnded | TargetCrashed | PeerReported
-QuarantineAction = Proceed | RefuseForNow | Condemn | TellPeers
+QuarantineAction = Proceed | RefuseTemporarily | Condemn | TellPeers
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -13,7 +13,7 @@
     Proceed,
     Quarantine,
     QuarantineSettings,
-    RefuseForNow,
+    RefuseTemporarily,
     SuspectReport,
     Suspicion,
     TargetCrashed,
@@ -55,7 +55,7 @@
 
         actions = node.handle(_starting('y', 'two'), 1)
 
-        assert actions == [RefuseForNow(call_id='y', retry_after_ms=100)]
+        assert actions == [RefuseTemporarily(call_id='y', retry_after_ms=100)]
 
     def test_suspect_that_finishes_well_is_cleared(self, node):
         """It runs beside others again, also at peers."""
