--- a/src/lovageshunt/node/gate/_actions.py
+++ b/src/lovageshunt/node/gate/_actions.py
@@ -23,7 +23,7 @@
 from lovageshunt.retries import CallEnded as FlightEnded
 from lovageshunt.retries import (
     CallStarting,
-    Condemn,
+    FailCondemned,
     Proceed,
     RefuseTemporarily,
 )
@@ -155,7 +155,7 @@
 
 @act.register
 def _condemn(
-    action: Condemn,
+    action: FailCondemned,
     state: GateState,
     now: float,
     out: list[Record],
--- a/src/lovageshunt/retries/__init__.py
+++ b/src/lovageshunt/retries/__init__.py
@@ -12,7 +12,7 @@
 from lovageshunt.retries._quarantine_messages import (
     CallEnded,
     CallStarting,
-    Condemn,
+    FailCondemned,
     PeerReported,
     Proceed,
     QuarantineAction,
@@ -37,7 +37,7 @@
     'CallEnded',
     'CallStarting',
     'CallTally',
-    'Condemn',
+    'FailCondemned',
     'AttemptFailure',
     'FleetBudgetSettings',
     'FleetRetryBudget',
--- a/src/lovageshunt/retries/_quarantine.py
+++ b/src/lovageshunt/retries/_quarantine.py
@@ -13,7 +13,7 @@
 from lovageshunt.retries._quarantine_messages import (
     CallEnded,
     CallStarting,
-    Condemn,
+    FailCondemned,
     PeerReported,
     Proceed,
     QuarantineAction,
@@ -115,7 +115,9 @@
             return [Proceed(call_id=event.call_id)]
         if case.is_condemned:
             left_ms = round((case.expires_at - now) * _MS_PER_SECOND)
-            return [Condemn(call_id=event.call_id, retry_after_ms=left_ms)]
+            return [
+                FailCondemned(call_id=event.call_id, retry_after_ms=left_ms)
+            ]
         if self._trial is not None or now < case.trial_until:
             busy_ms = self._settings.busy_retry_ms
             return [
--- a/src/lovageshunt/retries/_quarantine_messages.py
+++ b/src/lovageshunt/retries/_quarantine_messages.py
@@ -106,7 +106,7 @@
         self.retry_after_ms = retry_after_ms
 
 
-class Condemn(Record):
+class FailCondemned(Record):
     """Answer *failed*, quarantine, at once."""
 
     __slots__ = ('call_id', 'retry_after_ms')
@@ -128,4 +128,4 @@
 
 
 QuarantineEvent = CallStarting | CallEnded | TargetCrashed | PeerReported
-QuarantineAction = Proceed | RefuseTemporarily | Condemn | TellPeers
+QuarantineAction = Proceed | RefuseTemporarily | FailCondemned | TellPeers
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -8,7 +8,7 @@
 from lovageshunt.retries import (
     CallEnded,
     CallStarting,
-    Condemn,
+    FailCondemned,
     PeerReported,
     Proceed,
     Quarantine,
@@ -80,7 +80,7 @@
 
         actions = node.handle(_starting('x'), 2)
 
-        assert actions == [Condemn(call_id='x', retry_after_ms=599_000)]
+        assert actions == [FailCondemned(call_id='x', retry_after_ms=599_000)]
 
     def test_call_that_must_run_once_is_condemned_at_once(self, node):
         """It must not run again after any crash."""
@@ -89,13 +89,13 @@
 
         actions = node.handle(_starting('x', is_repeatable=False), 1)
 
-        assert isinstance(actions[0], Condemn)
+        assert isinstance(actions[0], FailCondemned)
 
     def test_context_carries_suspicion_between_callers(self, node):
         """A node that heard no report believes the call's own context."""
         actions = node.handle(_starting('x', suspicion=2), 0)
 
-        assert isinstance(actions[0], Condemn)
+        assert isinstance(actions[0], FailCondemned)
 
     def test_condemnation_expires(self, node):
         """The fault may be mended meanwhile."""
@@ -169,7 +169,7 @@
         for action in self._tell(at, _starting(name, name)):
             if isinstance(action, Proceed):
                 self.flights[at][name] = None
-            if isinstance(action, Condemn) and name != _POISON:
+            if isinstance(action, FailCondemned) and name != _POISON:
                 self.wronged += 1
 
     def _tell(self, at, event):
