--- a/src/lovageshunt/node/serving/_calls.py
+++ b/src/lovageshunt/node/serving/_calls.py
@@ -37,7 +37,7 @@
 )
 from lovageshunt.node.serving._target import TargetLink, TargetReply
 from lovageshunt.observability import ActiveSpan
-from lovageshunt.retries import TellPeers
+from lovageshunt.retries import NotifyPeers
 
 _log = getLogger(__name__)
 
@@ -160,7 +160,7 @@
         self._inquiries.start_hand_over(action)
 
     @_act.register
-    def _on_tell(self, action: TellPeers) -> None:
+    def _on_tell(self, action: NotifyPeers) -> None:
         self._inquiries.tell_suspects(action.reports)
 
     async def _inquire(self, action: Inquire) -> None:
--- a/src/lovageshunt/retries/__init__.py
+++ b/src/lovageshunt/retries/__init__.py
@@ -13,6 +13,7 @@
     CallEnded,
     CallStarting,
     FailCondemned,
+    NotifyPeers,
     PeerReported,
     Proceed,
     QuarantineAction,
@@ -21,7 +22,6 @@
     SuspectReport,
     Suspicion,
     TargetCrashed,
-    TellPeers,
 )
 from lovageshunt.retries._tally import CallTally, merge_calls
 from lovageshunt.retries._verdict import (
@@ -56,7 +56,7 @@
     'SuspectReport',
     'Suspicion',
     'TargetCrashed',
-    'TellPeers',
+    'NotifyPeers',
     'allowance_for',
     'decide_retry',
     'merge_calls',
--- a/src/lovageshunt/retries/_quarantine.py
+++ b/src/lovageshunt/retries/_quarantine.py
@@ -14,6 +14,7 @@
     CallEnded,
     CallStarting,
     FailCondemned,
+    NotifyPeers,
     PeerReported,
     Proceed,
     QuarantineAction,
@@ -22,7 +23,6 @@
     SuspectReport,
     Suspicion,
     TargetCrashed,
-    TellPeers,
 )
 
 #: A context that names so many crashed targets condemns the call.
@@ -164,7 +164,7 @@
             return []
         for report in reports:
             self._learn(report, now)
-        return [TellPeers(reports=reports)]
+        return [NotifyPeers(reports=reports)]
 
     @handle.register
     def _on_reported(
@@ -226,6 +226,6 @@
         return case
 
 
-def _tell(fingerprint: str, suspicion: Suspicion) -> TellPeers:
+def _tell(fingerprint: str, suspicion: Suspicion) -> NotifyPeers:
     report = SuspectReport(fingerprint=fingerprint, suspicion=suspicion)
-    return TellPeers(reports=(report,))
+    return NotifyPeers(reports=(report,))
--- a/src/lovageshunt/retries/_quarantine_messages.py
+++ b/src/lovageshunt/retries/_quarantine_messages.py
@@ -117,7 +117,7 @@
         self.retry_after_ms = retry_after_ms
 
 
-class TellPeers(Record):
+class NotifyPeers(Record):
     """Send reports to every node of the service."""
 
     __slots__ = ('reports',)
@@ -128,4 +128,4 @@
 
 
 QuarantineEvent = CallStarting | CallEnded | TargetCrashed | PeerReported
-QuarantineAction = Proceed | RefuseTemporarily | FailCondemned | TellPeers
+QuarantineAction = Proceed | RefuseTemporarily | FailCondemned | NotifyPeers
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -9,6 +9,7 @@
     CallEnded,
     CallStarting,
     FailCondemned,
+    NotifyPeers,
     PeerReported,
     Proceed,
     Quarantine,
@@ -17,7 +18,6 @@
     SuspectReport,
     Suspicion,
     TargetCrashed,
-    TellPeers,
 )
 
 _NODES = 3
@@ -69,7 +69,7 @@
             fingerprint=_POISON,
             suspicion=Suspicion.CLEARED,
         )
-        assert actions == [TellPeers(reports=(cleared,))]
+        assert actions == [NotifyPeers(reports=(cleared,))]
         assert node.case_count == 0
 
     def test_second_crash_condemns(self, node):
@@ -176,7 +176,7 @@
         self.now += 0.01
         actions = self.nodes[at].handle(event, self.now)
         for action in actions:
-            if isinstance(action, TellPeers):
+            if isinstance(action, NotifyPeers):
                 self._spread(at, PeerReported(reports=action.reports))
         return actions
 
