--- a/src/lovageshunt/client/_attempts.py
+++ b/src/lovageshunt/client/_attempts.py
@@ -15,7 +15,7 @@
 from lovageshunt.retries import (
     AllowancePool,
     AttemptFailure,
-    CallTally,
+    OutcomeTracker,
     RetryPlace,
     decide_retry,
 )
@@ -57,7 +57,7 @@
         self._first_age_ms = context.age_ms
         self._first_attempt = context.attempt
         self._link: ServiceLink = engine.link(call.service, self._started_at)
-        self._tally = CallTally()
+        self._tally = OutcomeTracker()
         self._tried: set[str] = set()
         self._tries = 0
         self._has_home_word = False
--- a/src/lovageshunt/retries/__init__.py
+++ b/src/lovageshunt/retries/__init__.py
@@ -23,7 +23,7 @@
     Suspicion,
     TargetCrashed,
 )
-from lovageshunt.retries._tally import CallTally, merge_calls
+from lovageshunt.retries._tally import OutcomeTracker, merge_calls
 from lovageshunt.retries._verdict import (
     AttemptFailure,
     RetryDecision,
@@ -36,7 +36,7 @@
     'AllowanceShare',
     'CallEnded',
     'CallStarting',
-    'CallTally',
+    'OutcomeTracker',
     'FailCondemned',
     'AttemptFailure',
     'FleetBudgetSettings',
--- a/src/lovageshunt/retries/_tally.py
+++ b/src/lovageshunt/retries/_tally.py
@@ -21,7 +21,7 @@
     return Outcome.FAILED
 
 
-class CallTally:
+class OutcomeTracker:
     """The outcome of one call over all its attempts.
 
     An attempt that began and has no outcome yet counts as unknown.
--- a/tests/retries/test_tally.py
+++ b/tests/retries/test_tally.py
@@ -3,11 +3,11 @@
 import pytest
 
 from lovageshunt.calls import Outcome
-from lovageshunt.retries import CallTally, merge_calls
+from lovageshunt.retries import OutcomeTracker, merge_calls
 
 
 def _tally(*outcomes, begun=0):
-    tally = CallTally()
+    tally = OutcomeTracker()
     for outcome in outcomes:
         tally.begin()
         tally.end(outcome)
