--- a/src/lovageshunt/pressure/__init__.py
+++ b/src/lovageshunt/pressure/__init__.py
@@ -7,18 +7,21 @@
 """
 
 from lovageshunt.pressure._call_graph import CallCounts, CallGraph
-from lovageshunt.pressure._call_watch import CallSampler
-from lovageshunt.pressure._callers import InternalCallDetector
-from lovageshunt.pressure._demand import DemandSettings, TargetDemandMeter
-from lovageshunt.pressure._needs import DemandModel, KindDemand
+from lovageshunt.pressure._call_sampler import CallSampler
+from lovageshunt.pressure._demand_model import DemandModel, KindDemand
+from lovageshunt.pressure._fleet_capacity import FleetCapacity, TargetCapacity
+from lovageshunt.pressure._internal_calls import InternalCallDetector
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RefusalMeter
-from lovageshunt.pressure._root_gate import (
+from lovageshunt.pressure._root_admission import (
     RootAdmission,
     RootDecision,
     Shortage,
 )
-from lovageshunt.pressure._target_room import FleetCapacity, TargetCapacity
+from lovageshunt.pressure._target_demand import (
+    DemandSettings,
+    TargetDemandMeter,
+)
 
 __all__ = [
     'CallCounts',
--- a/src/lovageshunt/pressure/_root_gate.py
+++ b/src/lovageshunt/pressure/_root_admission.py
@@ -16,12 +16,12 @@
 from typing import Final
 
 from lovageshunt._record import Record
-from lovageshunt.pressure._callers import InternalCallDetector
-from lovageshunt.pressure._needs import DemandModel
+from lovageshunt.pressure._demand_model import DemandModel
+from lovageshunt.pressure._fleet_capacity import FleetCapacity
+from lovageshunt.pressure._internal_calls import InternalCallDetector
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RetryNeeds
 from lovageshunt.pressure._shares import shares_by_importance
-from lovageshunt.pressure._target_room import FleetCapacity
 
 #: How often the shares are worked out anew, in seconds.
 _PERIOD_SECONDS: Final = 0.1
--- a/src/lovageshunt/retries/__init__.py
+++ b/src/lovageshunt/retries/__init__.py
@@ -2,11 +2,18 @@
 
 from lovageshunt.retries._allowance import AllowanceShare, allowance_for
 from lovageshunt.retries._budget import RetryBudget, RetryBudgetSettings
+from lovageshunt.retries._decision import (
+    AttemptFailure,
+    RetryDecision,
+    RetryPlace,
+    decide_retry,
+)
 from lovageshunt.retries._fleet_budget import (
     FleetBudgetSettings,
     FleetRetryBudget,
     FleetRetryBudgets,
 )
+from lovageshunt.retries._outcome_tracker import OutcomeTracker, merge_calls
 from lovageshunt.retries._pool import AllowancePool
 from lovageshunt.retries._quarantine import Quarantine, QuarantineSettings
 from lovageshunt.retries._quarantine_messages import (
@@ -23,13 +30,6 @@
     Suspicion,
     TargetCrashed,
 )
-from lovageshunt.retries._tally import OutcomeTracker, merge_calls
-from lovageshunt.retries._verdict import (
-    AttemptFailure,
-    RetryDecision,
-    RetryPlace,
-    decide_retry,
-)
 
 __all__ = [
     'AllowancePool',
