--- a/src/lovageshunt/pressure/__init__.py
+++ b/src/lovageshunt/pressure/__init__.py
@@ -1,9 +1,10 @@
-"""How much of their demand the services of a call graph have room for.
+"""Admission control at the first hop, by the capacity of services downstream.
 
-The calls that targets make tell nothing of the request above them. So nodes
-learn which kinds of requests lead to which calls, targets tell how much of
-what is asked of them they have room for, and the first hop refuses the
-requests whose work would be lost further down.
+The calls that targets make carry no reference to the request that caused
+them. So nodes estimate which kinds of requests lead to which calls, and report
+the share of its demand that each target has capacity for. The first hop then
+refuses the requests that would fail further down, after work was spent on
+them.
 """
 
 from lovageshunt.pressure._call_graph import CallCounts, CallGraph
--- a/src/lovageshunt/pressure/_demand_model.py
+++ b/src/lovageshunt/pressure/_demand_model.py
@@ -1,18 +1,18 @@
-"""Which services a kind of request needs, and for how long."""
+"""Models the demand that one request of a kind causes at every service."""
 
 from statistics import harmonic_mean
 from typing import Final
 
 from lovageshunt._record import Record
 
-#: Calls deeper than this are not followed, so that a loop ends.
-_MOST_DEPTH: Final = 16
-#: Weight of one node's word in the mean of its service.
+#: Calls deeper than this are not followed, so that a cycle ends.
+_MAX_DEPTH: Final = 16
+#: Weight of one report in the moving average of the calls per run.
 _WEIGHT: Final = 0.3
 
 
 class KindDemand(Record):
-    """What one run of a kind takes, as nodes beside its targets told.
+    """The demand of one run of a kind, as a node reports it.
 
     ``service`` runs it, ``seconds`` is how long it holds a slot at the target
     of ``node``, ``calls_by_kind`` how many calls of each kind it makes.
@@ -28,7 +28,6 @@
         seconds: float,
         calls_by_kind: dict[str, float],
     ) -> None:
-        """Take every field by name."""
         self.node = node
         self.service = service
         self.seconds = seconds
@@ -36,30 +35,30 @@
 
 
 class _Kind:
-    """What is known of one kind."""
+    """The reports of all nodes of a service on one kind, combined."""
 
     __slots__ = ('service', 'seconds_by_node', 'calls_by_kind')
 
-    def __init__(self, told: KindDemand) -> None:
-        """Begin with the word of one node."""
-        self.service = told.service
-        self.seconds_by_node = {told.node: told.seconds}
-        self.calls_by_kind = dict(told.calls_by_kind)
+    def __init__(self, report: KindDemand) -> None:
+        self.service = report.service
+        self.seconds_by_node = {report.node: report.seconds}
+        self.calls_by_kind = dict(report.calls_by_kind)
 
     @property
     def seconds(self) -> float:
-        """Return the time of a run on targets of differing speed.
+        """Return the harmonic mean of the run time over the nodes.
 
-        It is the mean by which as many runs fit as fit on all of them.
+        With targets of different speed it is the mean that gives the number
+        of runs that all of them together can do.
         """
         return harmonic_mean(list(self.seconds_by_node.values()))
 
-    def learn(self, told: KindDemand) -> None:
-        """Take the word of another node, or the same one anew."""
-        self.seconds_by_node[told.node] = told.seconds
-        for called in self.calls_by_kind.keys() | told.calls_by_kind.keys():
+    def learn(self, report: KindDemand) -> None:
+        """Merge the report of another node, or a newer one of the same."""
+        self.seconds_by_node[report.node] = report.seconds
+        for called in self.calls_by_kind.keys() | report.calls_by_kind.keys():
             before = self.calls_by_kind.get(called, 0)
-            change = told.calls_by_kind.get(called, 0) - before
+            change = report.calls_by_kind.get(called, 0) - before
             self.calls_by_kind[called] = before + _WEIGHT * change
 
 
@@ -69,12 +68,11 @@
     __slots__ = ('work_by_service', 'runs_by_service')
 
     def __init__(self) -> None:
-        """Begin with none."""
         self.work_by_service: dict[str, float] = {}
         self.runs_by_service: dict[str, float] = {}
 
     def add(self, service: str, runs: float, seconds: float) -> None:
-        """Add runs at a service that take so many seconds each."""
+        """Add runs at a service; each holds a slot for ``seconds``."""
         work = self.work_by_service.get(service, 0)
         self.work_by_service[service] = work + runs * seconds
         known = self.runs_by_service.get(service, 0)
@@ -82,23 +80,28 @@
 
 
 class DemandModel:
-    """Adds up the slots and runs that a request needs at every service."""
+    """Sums the slot-seconds and runs that a request causes, by service.
+
+    A kind that was not reported yet has no known demand.
+    """
 
     __slots__ = ('_by_kind', '_totals_by_kind')
 
     def __init__(self) -> None:
-        """Begin with nothing known."""
         self._by_kind: dict[str, _Kind] = {}
         self._totals_by_kind: dict[str, _Totals] = {}
 
-    def learn(self, kind: str, told: KindDemand) -> None:
-        """Take the word of one node; nodes of a service are averaged."""
+    def learn(self, kind: str, report: KindDemand) -> None:
+        """Merge a node's report with those of other nodes of the service.
+
+        A report from another service replaces what was known of the kind.
+        """
         self._totals_by_kind = {}
         known = self._by_kind.get(kind)
-        if known is None or known.service != told.service:
-            self._by_kind[kind] = _Kind(told)
+        if known is None or known.service != report.service:
+            self._by_kind[kind] = _Kind(report)
         else:
-            known.learn(told)
+            known.learn(report)
 
     def work_of(self, kind: str) -> dict[str, float]:
         """Return slot-seconds by service for one request of a kind."""
@@ -112,7 +115,7 @@
         totals = self._totals_by_kind.get(kind)
         if totals is None:
             totals = _Totals()
-            self._add(kind, 1, totals, _MOST_DEPTH)
+            self._add(kind, 1, totals, _MAX_DEPTH)
             self._totals_by_kind[kind] = totals
         return totals
 
@@ -123,9 +126,10 @@
         totals: _Totals,
         depth: int,
     ) -> None:
-        needs = self._by_kind.get(kind)
-        if needs is None or depth == 0:
+        """Add runs of a kind and, down to ``depth``, of what they call."""
+        demand = self._by_kind.get(kind)
+        if demand is None or depth == 0:
             return
-        totals.add(needs.service, count, needs.seconds)
-        for called, calls in needs.calls_by_kind.items():
+        totals.add(demand.service, count, demand.seconds)
+        for called, calls in demand.calls_by_kind.items():
             self._add(called, count * calls, totals, depth - 1)
--- a/src/lovageshunt/pressure/_fleet_capacity.py
+++ b/src/lovageshunt/pressure/_fleet_capacity.py
@@ -1,4 +1,4 @@
-"""What the targets of the services have room for, as their nodes tell it."""
+"""The capacity that the targets of each service report through their nodes."""
 
 from statistics import median_high
 from typing import Final
@@ -6,17 +6,18 @@
 from lovageshunt._record import Record
 from lovageshunt.pressure._refusals import accepted_share
 
-#: What was not told for so long is forgotten, in seconds: nodes tell it each
-#: second at least.
-_MEMORY_SECONDS: Final = 2.0
+#: A report older than this is dropped, in seconds: nodes repeat theirs at
+#: least each second.
+_EXPIRY_SECONDS: Final = 2.0
 
 
 class TargetCapacity(Record):
-    """The room at one target.
+    """The capacity of one target.
 
-    ``share`` is the share of its demand that it has room for, ``slots`` what
-    may run in it at once. ``sent_per_second`` calls its node sends to it, of
-    which it refuses ``refused_per_second`` although there were slots.
+    ``share`` is the share of its demand that it has capacity for, ``slots``
+    how many calls may run in it at once. ``sent_per_second`` calls reach it
+    from its node, of which it refuses ``refused_per_second`` although there
+    were free slots.
     """
 
     __slots__ = ('share', 'slots', 'sent_per_second', 'refused_per_second')
@@ -29,71 +30,68 @@
         sent_per_second: float = 0,
         refused_per_second: float = 0,
     ) -> None:
-        """Take every field by name."""
         self.share = share
         self.slots = slots
         self.sent_per_second = sent_per_second
         self.refused_per_second = refused_per_second
 
 
-class _Heard(Record):
-    """The room that one target told, and when."""
+class _Report(Record):
+    """The capacity that one target reported, and when."""
 
-    __slots__ = ('room', 'at')
+    __slots__ = ('capacity', 'at')
 
-    def __init__(self, *, room: TargetCapacity, at: float) -> None:
-        """Take both."""
-        self.room = room
+    def __init__(self, *, capacity: TargetCapacity, at: float) -> None:
+        self.capacity = capacity
         self.at = at
 
 
 class FleetCapacity:
-    """The latest word of every target, by service."""
+    """The latest report of every target, by service."""
 
-    __slots__ = ('_heard_by_target_by_service',)
+    __slots__ = ('_report_by_target_by_service',)
 
     def __init__(self) -> None:
-        """Begin with no target."""
-        self._heard_by_target_by_service: dict[str, dict[str, _Heard]] = {}
+        self._report_by_target_by_service: dict[str, dict[str, _Report]] = {}
 
     @property
     def services(self) -> list[str]:
-        """Return the services of which something was told."""
-        return list(self._heard_by_target_by_service)
+        """Return the services with at least one report, also expired."""
+        return list(self._report_by_target_by_service)
 
     def heard(
         self,
         service: str,
         target_id: str,
-        room: TargetCapacity,
+        capacity: TargetCapacity,
         now: float,
     ) -> None:
-        """Take what a target has room for."""
-        by_target = self._heard_by_target_by_service.setdefault(service, {})
-        by_target[target_id] = _Heard(room=room, at=now)
+        """Record the report of a target in place of its last one."""
+        by_target = self._report_by_target_by_service.setdefault(service, {})
+        by_target[target_id] = _Report(capacity=capacity, at=now)
 
     def slots_of(self, service: str, now: float) -> float:
         """Return the slots of a service that requests may use."""
-        fleet_capacity = self._lately(service, now)
-        if not fleet_capacity:
+        capacities = self._current(service, now)
+        if not capacities:
             return 0
-        # One target that is full while others have room is a matter of
-        # placing, so the one in the middle speaks for all.
-        share = median_high(room.share for room in fleet_capacity)
-        return share * sum(room.slots for room in fleet_capacity)
+        # One overloaded target among others with spare capacity is a matter
+        # of load balancing, so the median share applies to the service.
+        share = median_high(capacity.share for capacity in capacities)
+        return share * sum(capacity.slots for capacity in capacities)
 
     def accepted_of(self, service: str, now: float) -> float:
         """Return the share of the calls that a service's targets accept."""
-        fleet_capacity = self._lately(service, now)
+        capacities = self._current(service, now)
         return accepted_share(
-            sum(room.sent_per_second for room in fleet_capacity),
-            sum(room.refused_per_second for room in fleet_capacity),
+            sum(capacity.sent_per_second for capacity in capacities),
+            sum(capacity.refused_per_second for capacity in capacities),
         )
 
-    def _lately(self, service: str, now: float) -> list[TargetCapacity]:
-        """Return what the targets of a service told lately."""
-        by_target = self._heard_by_target_by_service.get(service, {})
-        for target_id, heard in list(by_target.items()):
-            if now - heard.at > _MEMORY_SECONDS:
+    def _current(self, service: str, now: float) -> list[TargetCapacity]:
+        """Drop expired reports of a service; return the others."""
+        by_target = self._report_by_target_by_service.get(service, {})
+        for target_id, report in list(by_target.items()):
+            if now - report.at > _EXPIRY_SECONDS:
                 by_target.pop(target_id)
-        return [heard.room for heard in by_target.values()]
+        return [report.capacity for report in by_target.values()]
--- a/src/lovageshunt/pressure/_rates.py
+++ b/src/lovageshunt/pressure/_rates.py
@@ -1,34 +1,32 @@
-"""Rates of a whole fleet, added up from what its nodes tell."""
+"""Rates of a whole fleet, summed over the reports of its nodes."""
 
 from collections.abc import Mapping
 from typing import Final
 
 from lovageshunt._record import Record
 
-#: Weight of one report in the rate of a node.
+#: Weight of one report in the moving average of a node's rate.
 _RATE_WEIGHT: Final = 0.5
-#: A node that told nothing for so long is left out, in seconds.
-_MEMORY_SECONDS: Final = 4.0
+#: A node that sent no report for this long is left out, in seconds.
+_EXPIRY_SECONDS: Final = 4.0
 
 
 class _NodeRates(Record):
-    """What one node told, and when."""
+    """One node's rates a second by key, and the time of its last report."""
 
     __slots__ = ('at', 'by_key')
 
     def __init__(self, *, at: float, by_key: dict[str, float]) -> None:
-        """Take both."""
         self.at = at
         self.by_key = by_key
 
 
 class FleetRates:
-    """Adds up so many a second of each key, as nodes told it."""
+    """Sums the rate of each key over the nodes that lately reported it."""
 
     __slots__ = ('_by_node',)
 
     def __init__(self) -> None:
-        """Begin with none."""
         self._by_node: dict[str, _NodeRates] = {}
 
     def learn(
@@ -38,27 +36,27 @@
         seconds: float,
         now: float,
     ) -> None:
-        """Take how many of each key a node counted in a time."""
-        told = self._by_node.get(node)
-        if told is None or now - told.at > _MEMORY_SECONDS:
+        """Add a node's report of its counts in the last ``seconds``."""
+        rates = self._by_node.get(node)
+        if rates is None or now - rates.at > _EXPIRY_SECONDS:
             by_key = {
                 key: count / seconds for key, count in count_by_key.items()
             }
             self._by_node[node] = _NodeRates(at=now, by_key=by_key)
             return
-        told.at = now
-        for key in told.by_key.keys() | count_by_key.keys():
-            known = told.by_key.get(key, 0)
+        rates.at = now
+        for key in rates.by_key.keys() | count_by_key.keys():
+            known = rates.by_key.get(key, 0)
             rate = count_by_key.get(key, 0) / seconds
-            told.by_key[key] = known + _RATE_WEIGHT * (rate - known)
+            rates.by_key[key] = known + _RATE_WEIGHT * (rate - known)
 
     def rate_by_key(self, now: float) -> dict[str, float]:
-        """Return the rates of the whole fleet."""
+        """Return the fleet's rates a second; drop nodes that are silent."""
         total: dict[str, float] = {}
-        for node, told in list(self._by_node.items()):
-            if now - told.at > _MEMORY_SECONDS:
+        for node, rates in list(self._by_node.items()):
+            if now - rates.at > _EXPIRY_SECONDS:
                 self._by_node.pop(node)
                 continue
-            for key, rate in told.by_key.items():
+            for key, rate in rates.by_key.items():
                 total[key] = total.get(key, 0) + rate
         return total
--- a/src/lovageshunt/pressure/_root_admission.py
+++ b/src/lovageshunt/pressure/_root_admission.py
@@ -1,12 +1,13 @@
-"""Which requests of clients are let in, by what the services below bear.
+"""Admission of root requests by the capacity of the services downstream.
 
-It answers for a load beyond the capacity of a service deep in the graph. A
-request that would be refused there, after work was spent on it at every hop
-above, is refused at its first hop instead: the less important kinds first,
-and all kinds of one importance alike.
+It protects against a load beyond the capacity of a service deep in the call
+graph. A request that would be refused there, after work was spent on it at
+every hop above, is refused at its first hop instead: the less important kinds
+first, and all kinds of one importance alike.
 
-It also answers for a service whose targets refuse calls that they have slots
-for. There the retries are short, and are left to the more important kinds.
+It also covers a service whose targets refuse calls for which they have free
+slots. There the retry budget is the scarce resource, and it is reserved for
+the more important kinds.
 """
 
 from collections.abc import Mapping
@@ -20,42 +21,43 @@
 from lovageshunt.pressure._fleet_capacity import FleetCapacity
 from lovageshunt.pressure._internal_calls import InternalCallDetector
 from lovageshunt.pressure._rates import FleetRates
-from lovageshunt.pressure._refusals import RetryNeeds
+from lovageshunt.pressure._refusals import RetryDemand
 from lovageshunt.pressure._shares import shares_by_importance
 
-#: How often the shares are worked out anew, in seconds.
-_PERIOD_SECONDS: Final = 0.1
-#: A kind that needs less of a service than this share of what the kind needs
-#: that needs most is not refused for it.
-_SLIGHT_NEED: Final = 0.1
-#: The least share of a kind that is let in, so that there are calls to learn
-#: from.
-_LEAST_SHARE: Final = 0.02
-#: When to come back while shares are short, in seconds: they move by a
-#: twelfth of themselves several times a second.
+#: The interval between updates of the admitted shares, in seconds.
+_UPDATE_SECONDS: Final = 0.1
+#: A kind whose demand on a service is at most this fraction of the highest
+#: demand of any kind on it is not refused because of that service.
+_NEGLIGIBLE_FRACTION: Final = 0.1
+#: The lowest share of a kind that is admitted, so that there are calls to
+#: measure.
+_MIN_SHARE: Final = 0.02
+#: The mean retry time of a refusal, in seconds: the shares change by a
+#: twelfth several times a second.
 _RETRY_SECONDS: Final = 0.4
 
 
 class Shortage(StrEnum):
-    """What a service has too little of."""
+    """The resource of a service that is scarce."""
 
     SLOTS = 'slots'
     RETRIES = 'retries'
 
 
-#: A kind gets at least this part of what all kinds that need a service get of
-#: it, so that none is shut out for long. It is small for retries: a request
-#: takes many of them, so a part like that for slots would serve hardly more.
-_FLOOR_PART_BY_SHORTAGE: Final = MappingProxyType(
+#: The fraction of a scarce resource that is divided among all kinds that use
+#: it, so that none is starved for long. It is small for retries: a request
+#: takes many of them, so a fraction like that for slots would serve hardly
+#: more requests.
+_FLOOR_FRACTION_BY_SHORTAGE: Final = MappingProxyType(
     {Shortage.SLOTS: 0.35, Shortage.RETRIES: 0.1},
 )
 
 
 class RootDecision(Record):
-    """``retry_seconds`` is when to come back, or nothing if it may go.
+    """``retry_seconds`` is the time to retry after, ``None`` if admitted.
 
-    ``service`` is the one that has no room, ``shortage`` of what, ``share``
-    what is let in.
+    ``service`` is the overloaded one and ``shortage`` its scarce resource;
+    ``share`` is the share of the kind's requests that is admitted.
     """
 
     __slots__ = ('retry_seconds', 'service', 'shortage', 'share')
@@ -68,7 +70,6 @@
         shortage: Shortage | None = None,
         share: float = 1,
     ) -> None:
-        """Take every field by name."""
         self.retry_seconds = retry_seconds
         self.service = service
         self.shortage = shortage
@@ -76,31 +77,37 @@
 
 
 class _Kind:
-    """What is let in of one kind of requests, and why no more."""
+    """The admitted share of one kind, and the scarce resource that limits it.
+
+    ``service`` is empty and ``shortage`` ``None`` while all are admitted.
+    """
 
     __slots__ = ('importance', 'share', 'service', 'shortage')
 
     def __init__(self, importance: int) -> None:
-        """Begin with all let in."""
         self.importance = importance
-        self.let_all_in()
+        self.admit_all()
 
-    def let_all_in(self) -> None:
-        """Forget what was short."""
+    def admit_all(self) -> None:
+        """Reset the share to 1 and clear its limit."""
         self.share = float(1)
         self.service = ''
         self.shortage: Shortage | None = None
 
 
 class RootAdmission:
-    """Decides at the first hop of each request."""
+    """Admits or refuses each request of a client at its first hop.
+
+    ``fleet_capacity`` holds the reports of the targets; a service without any
+    limits nothing.
+    """
 
     __slots__ = (
         'fleet_capacity',
-        '_needs',
+        '_demand_model',
         '_arrivals',
         '_retries',
-        '_callers',
+        '_internal_calls',
         '_rng',
         '_by_kind',
         '_updated_at',
@@ -115,15 +122,16 @@
         callers: InternalCallDetector,
         rng: Random,
     ) -> None:
-        """Begin with room everywhere.
+        """Set the sources of the decisions.
 
-        ``arrivals`` are the fleet's requests a second by kind, ``retries``
-        what its nodes may send again a second by service.
+        ``needs`` models the demand of a request, ``arrivals`` are the fleet's
+        requests a second by kind, ``retries`` the retries a second that its
+        nodes may send by service. ``callers`` tells which kinds only targets
+        send.
         """
-        #: What the targets tell of their room.
         self.fleet_capacity = FleetCapacity()
-        self._needs = needs
-        self._callers = callers
+        self._demand_model = needs
+        self._internal_calls = callers
         self._arrivals = arrivals
         self._retries = retries
         self._rng = rng
@@ -131,60 +139,60 @@
         self._updated_at = float('-inf')
 
     def verdict(self, kind: str, importance: int, now: float) -> RootDecision:
-        """Let a request in, or say when to come back."""
+        """Admit a request, or refuse it with a time to retry after."""
         known = self._by_kind.get(kind)
         if known is None:
             known = _Kind(importance)
             self._by_kind[kind] = known
         known.importance = importance
-        if now - self._updated_at >= _PERIOD_SECONDS:
+        if now - self._updated_at >= _UPDATE_SECONDS:
             self._update(now)
         if known.share >= 1 or self._rng.random() < known.share:
             return RootDecision(service=known.service, share=known.share)
-        spread = self._rng.random() + 1 / 2
+        jitter = self._rng.random() + 1 / 2
         return RootDecision(
-            retry_seconds=_RETRY_SECONDS * spread,
+            retry_seconds=_RETRY_SECONDS * jitter,
             service=known.service,
             shortage=known.shortage,
             share=known.share,
         )
 
     def _update(self, now: float) -> None:
-        """Work out what is let in of each kind."""
+        """Recompute the admitted share of each kind."""
         self._updated_at = now
         for known in self._by_kind.values():
-            known.let_all_in()
+            known.admit_all()
         rate_by_kind = self._arrivals.rate_by_key(now)
         retries_by_service = self._retries.rate_by_key(now)
         for service in self.fleet_capacity.services:
             slots = self.fleet_capacity.slots_of(service, now)
             if slots > 0:
-                uses = self._uses_of(service, rate_by_kind)
-                self._divide(service, Shortage.SLOTS, slots, uses)
+                demand = self._slot_demand(service, rate_by_kind)
+                self._limit_shares(service, Shortage.SLOTS, slots, demand)
             accepted = self.fleet_capacity.accepted_of(service, now)
             if accepted < 1:
                 retries = retries_by_service.get(service, 0)
-                uses = self._retries_of(service, accepted, rate_by_kind)
-                self._divide(service, Shortage.RETRIES, retries, uses)
+                demand = self._retry_demand(service, accepted, rate_by_kind)
+                self._limit_shares(service, Shortage.RETRIES, retries, demand)
 
-    def _divide(
+    def _limit_shares(
         self,
         service: str,
         shortage: Shortage,
-        room: float,
-        use_by_kind: Mapping[str, float],
+        capacity: float,
+        demand_by_kind: Mapping[str, float],
     ) -> None:
-        """Lower the shares of kinds that use more than there is."""
-        if sum(use_by_kind.values()) <= room:
+        """Lower the shares of kinds whose total demand exceeds a capacity."""
+        if sum(demand_by_kind.values()) <= capacity:
             return
         shares = shares_by_importance(
-            self._by_importance(use_by_kind),
-            room,
-            _FLOOR_PART_BY_SHORTAGE[shortage],
+            self._by_importance(demand_by_kind),
+            capacity,
+            _FLOOR_FRACTION_BY_SHORTAGE[shortage],
         )
-        for kind in use_by_kind:
+        for kind in demand_by_kind:
             known = self._by_kind[kind]
-            share = max(_LEAST_SHARE, shares[known.importance])
+            share = max(_MIN_SHARE, shares[known.importance])
             if share < known.share:
                 known.share = share
                 known.service = service
@@ -192,38 +200,39 @@
 
     def _by_importance(
         self,
-        use_by_kind: Mapping[str, float],
+        demand_by_kind: Mapping[str, float],
     ) -> dict[int, float]:
-        """Add up the use of the kinds of each importance."""
-        use_by_importance: dict[int, float] = {}
-        for kind, use in use_by_kind.items():
+        """Sum the demand over the kinds of each importance."""
+        demand_by_importance: dict[int, float] = {}
+        for kind, demand in demand_by_kind.items():
             importance = self._by_kind[kind].importance
-            before = use_by_importance.get(importance, 0)
-            use_by_importance[importance] = before + use
-        return use_by_importance
+            before = demand_by_importance.get(importance, 0)
+            demand_by_importance[importance] = before + demand
+        return demand_by_importance
 
-    def _uses_of(
+    def _slot_demand(
         self,
         service: str,
         rate_by_kind: Mapping[str, float],
     ) -> dict[str, float]:
         """Return the slots that the fleet's requests of each kind would use.
 
-        Kinds that need the service but slightly are left out, and so are
-        those that targets send: they are in the needs of the kinds above.
+        Kinds with a negligible demand on the service are left out, and so are
+        internal kinds: the demand of the kinds that call them includes them.
         """
-        need_by_kind = {
-            kind: self._needs.work_of(kind).get(service, 0)
+        work_by_kind = {
+            kind: self._demand_model.work_of(kind).get(service, 0)
             for kind in self._root_kinds()
         }
-        most = max(need_by_kind.values(), default=0)
+        highest = max(work_by_kind.values(), default=0)
         return {
-            kind: need * rate_by_kind[kind]
-            for kind, need in need_by_kind.items()
-            if need > most * _SLIGHT_NEED and rate_by_kind.get(kind, 0) > 0
+            kind: work * rate_by_kind[kind]
+            for kind, work in work_by_kind.items()
+            if work > highest * _NEGLIGIBLE_FRACTION
+            and rate_by_kind.get(kind, 0) > 0
         }
 
-    def _retries_of(
+    def _retry_demand(
         self,
         service: str,
         accepted: float,
@@ -231,16 +240,16 @@
     ) -> dict[str, float]:
         """Return the retries a second that the fleet's requests would need.
 
-        Kinds that have a fair chance without any are left out: they are let
-        in, with the retries or without.
+        Kinds that have a fair chance without retries are left out: a shortage
+        of retries does not limit them.
         """
         retries_by_kind: dict[str, float] = {}
         for kind in self._root_kinds():
-            calls = self._needs.runs_of(kind).get(service, 0)
-            needs = RetryNeeds(calls=calls, accepted=accepted)
+            calls = self._demand_model.runs_of(kind).get(service, 0)
+            demand = RetryDemand(calls=calls, accepted=accepted)
             rate = rate_by_kind.get(kind, 0)
-            if needs.is_hopeless and rate > 0:
-                retries_by_kind[kind] = needs.retries * rate
+            if demand.depends_on_retries and rate > 0:
+                retries_by_kind[kind] = demand.retries * rate
         return retries_by_kind
 
     def _root_kinds(self) -> list[str]:
@@ -248,5 +257,5 @@
         return [
             kind
             for kind in self._by_kind
-            if not self._callers.is_internal(kind)
+            if not self._internal_calls.is_internal(kind)
         ]
--- a/src/lovageshunt/pressure/_shares.py
+++ b/src/lovageshunt/pressure/_shares.py
@@ -1,24 +1,27 @@
-"""Divides what is short among kinds of differing importance."""
+"""Divides scarce capacity among kinds of different importance."""
 
 from collections.abc import Mapping
 
 
 def shares_by_importance(
-    use_by_importance: Mapping[int, float],
-    room: float,
-    floor_part: float,
+    demand_by_importance: Mapping[int, float],
+    capacity: float,
+    floor_fraction: float,
 ) -> dict[int, float]:
-    """Return the share of each importance that there is room for.
+    """Return the share of its demand that each importance is granted.
 
-    The room goes to the most important (0) first. But every importance gets
-    at least its part of the share ``floor_part`` of the room.
+    Capacity goes to the most important (0) first, but ``floor_fraction`` of
+    it is divided among all in proportion to their demand.
     """
-    floor = min(1, floor_part * room / sum(use_by_importance.values()))
-    left = room * (1 - floor_part)
+    floor = min(
+        1,
+        floor_fraction * capacity / sum(demand_by_importance.values()),
+    )
+    left = capacity * (1 - floor_fraction)
     shares: dict[int, float] = {}
-    for importance, use in sorted(use_by_importance.items()):
-        above_floor = use * (1 - floor)
-        part = min(1, max(0, left) / above_floor) if above_floor else 1
-        shares[importance] = floor + (1 - floor) * part
+    for importance, demand in sorted(demand_by_importance.items()):
+        above_floor = demand * (1 - floor)
+        granted = min(1, max(0, left) / above_floor) if above_floor else 1
+        shares[importance] = floor + (1 - floor) * granted
         left -= above_floor
     return shares
--- a/tests/pressure/test_demand.py
+++ b/tests/pressure/test_demand.py
@@ -1,4 +1,4 @@
-"""Measuring what is asked of a target."""
+"""Measuring the demand on a target."""
 
 from lovageshunt.pressure import DemandSettings, TargetDemandMeter
 
@@ -8,7 +8,10 @@
 
 
 def share_after(offered: float, windows: int) -> float:
-    """Play a demand of so many times the slots that follows the share."""
+    """Return the share after a simulated load.
+
+    ``offered`` is the demand over the slots; the arrivals follow the share.
+    """
     meter = TargetDemandMeter(DemandSettings(), 0)
     meter.ran('k', SECONDS)
     for window in range(1, windows + 1):
@@ -19,33 +22,33 @@
     return meter.share
 
 
-class TestDemandMeter:
-    """The share that there is room for."""
+class TestTargetDemandMeter:
+    """The share of the demand that there is capacity for."""
 
-    def test_keeps_everything_below_capacity(self) -> None:
-        """Nothing is held back while there is room."""
+    def test_share_is_one_below_capacity(self) -> None:
+        """Below capacity the whole demand is admitted."""
         assert share_after(0.8, 40) == 1
 
     def test_finds_the_share_under_overload(self) -> None:
-        """At twice the capacity half of the demand is let in."""
+        """At twice the capacity half of the demand is admitted."""
         assert 0.45 < share_after(2, 60) < 0.55
 
     def test_finds_a_small_share(self) -> None:
-        """A first hop that knows nothing of the needs is corrected in full:
-        at twenty times the capacity within ten seconds.
+        """Without a demand model at the first hop the share alone limits the
+        load: at twenty times the capacity within ten seconds.
         """
         assert share_after(20, 40) < 0.07
 
-    def test_returns_when_the_load_is_gone(self) -> None:
-        """Within five seconds of its end an overload is forgotten."""
+    def test_recovers_after_an_overload(self) -> None:
+        """The share is 1 again five seconds after the overload ended."""
         meter = TargetDemandMeter(DemandSettings(), 0)
         meter.share = 0.3
         for window in range(1, int(5 / WINDOW) + 1):
             meter.advance(window * WINDOW, slots=SLOTS, backlog_slot_seconds=0)
         assert meter.share == 1
 
-    def test_takes_failed_runs_until_there_are_good_ones(self) -> None:
-        """The time of a failed run is better than none, and gives way."""
+    def test_uses_failed_runs_until_there_are_good_ones(self) -> None:
+        """A failed run's duration is used until a good run replaces it."""
         meter = TargetDemandMeter(DemandSettings(), 0)
         meter.failed('k', 0.4)
         assert meter.seconds_by_kind == {'k': 0.4}
@@ -53,8 +56,8 @@
         meter.failed('k', 9)
         assert meter.seconds_by_kind == {'k': 0.1}
 
-    def test_counts_what_waits(self) -> None:
-        """A queue lowers the share though nothing more arrives."""
+    def test_counts_queued_calls(self) -> None:
+        """A backlog lowers the share although nothing more arrives."""
         meter = TargetDemandMeter(DemandSettings(), 0)
         for window in range(1, 4):
             meter.advance(
@@ -64,8 +67,8 @@
             )
         assert meter.share < 1
 
-    def test_learns_nothing_from_a_pause(self) -> None:
-        """A window in which the process stood still moves nothing."""
+    def test_ignores_a_pause_of_the_process(self) -> None:
+        """A window in which the process was paused leaves the share as is."""
         meter = TargetDemandMeter(DemandSettings(), 0)
         meter.share = 0.5
         assert not meter.advance(10, slots=SLOTS, backlog_slot_seconds=0)
--- a/tests/pressure/test_shares.py
+++ b/tests/pressure/test_shares.py
@@ -1,4 +1,4 @@
-"""Dividing what is short."""
+"""Dividing scarce capacity."""
 
 import pytest
 from hypothesis import given
@@ -8,15 +8,15 @@
 
 
 class TestSharesByImportance:
-    """Who gets how much."""
+    """The share of its demand that each importance is granted."""
 
     def test_serves_the_most_important_first(self) -> None:
-        """Without a floor the rest is left to the others."""
+        """Without a floor the less important get only the remainder."""
         shares = shares_by_importance({0: 10, 2: 30}, 25, 0)
         assert shares == {0: 1, 2: pytest.approx(0.5)}
 
-    def test_leaves_a_floor(self) -> None:
-        """The least important gets its part of the floor."""
+    def test_grants_a_floor(self) -> None:
+        """The least important gets its proportional part of the floor."""
         shares = shares_by_importance({0: 100, 2: 100}, 50, 0.4)
         assert shares[2] == pytest.approx(0.4 * 50 / 200)
 
@@ -25,20 +25,22 @@
         st.floats(0, 1),
         st.floats(0, 0.9),
     )
-    def test_gives_out_what_there_is(
+    def test_grants_the_whole_capacity(
         self,
-        use_by_importance: dict[int, float],
-        room_part: float,
-        floor_part: float,
+        demand_by_importance: dict[int, float],
+        capacity_fraction: float,
+        floor_fraction: float,
     ) -> None:
-        """All of the room is used, no more, and the order is kept."""
-        room = room_part * sum(use_by_importance.values())
-        shares = shares_by_importance(use_by_importance, room, floor_part)
-        used = sum(
-            shares[importance] * use
-            for importance, use in use_by_importance.items()
+        """Exactly the capacity is granted, in the order of importance."""
+        capacity = capacity_fraction * sum(demand_by_importance.values())
+        shares = shares_by_importance(
+            demand_by_importance, capacity, floor_fraction
         )
-        assert used == pytest.approx(room, rel=1e-6, abs=1e-6)
+        granted = sum(
+            shares[importance] * demand
+            for importance, demand in demand_by_importance.items()
+        )
+        assert granted == pytest.approx(capacity, rel=1e-6, abs=1e-6)
         in_order = [shares[each] for each in sorted(shares)]
         for more, less in zip(in_order, in_order[1:], strict=False):
             assert more >= less - 1e-9
