--- a/src/lovageshunt/pressure/_root_admission.py
+++ b/src/lovageshunt/pressure/_root_admission.py
@@ -138,7 +138,7 @@
         self._by_kind: dict[str, _Kind] = {}
         self._updated_at = float('-inf')
 
-    def verdict(self, kind: str, importance: int, now: float) -> RootDecision:
+    def decision(self, kind: str, importance: int, now: float) -> RootDecision:
         """Admit a request, or refuse it with a time to retry after."""
         known = self._by_kind.get(kind)
         if known is None:
--- a/src/lovageshunt/sidecar/_answering.py
+++ b/src/lovageshunt/sidecar/_answering.py
@@ -52,17 +52,17 @@
         call: OriginCall,
         reason: str,
         retry_ms: int,
-        verdict: RootDecision | None = None,
+        decision: RootDecision | None = None,
     ) -> None:
         """Answer that the request has not run and will not, and come back.
 
         One of which an attempt may have run is told to have failed instead.
         """
         inputs: dict[str, Any] = {}
-        if verdict is not None:
-            inputs['full'] = verdict.service
-            inputs['short_of'] = verdict.shortage
-            inputs['share'] = round(verdict.share, 3)
+        if decision is not None:
+            inputs['full'] = decision.service
+            inputs['short_of'] = decision.shortage
+            inputs['share'] = round(decision.share, 3)
         status = _BAD_GATEWAY if call.has_run else _UNAVAILABLE
         self._answer(call, status, reason, retry_ms, **inputs)
 
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -145,15 +145,15 @@
 
     def _is_let_in(self, call: OriginCall, route: Route) -> bool:
         """Refuse a request whose work would be lost further down."""
-        verdict = self._reports.gate.verdict(
+        decision = self._reports.gate.decision(
             route.name,
             route.importance,
             call.started_at,
         )
-        if verdict.retry_seconds is None:
+        if decision.retry_seconds is None:
             return True
-        retry_ms = round(verdict.retry_seconds * _MS_PER_SECOND)
-        self._answers.not_run(call, 'overload', retry_ms, verdict)
+        retry_ms = round(decision.retry_seconds * _MS_PER_SECOND)
+        self._answers.not_run(call, 'overload', retry_ms, decision)
         self._end(call)
         return False
 
@@ -265,7 +265,7 @@
         is_shed = answer.reason is RefusalReason.SHED
         if other is None or is_shed and not budget.keeps_pace(clock_now()):
             return False
-        verdict = decide_retry(
+        decision = decide_retry(
             AttemptFailure(
                 outcome=answer.outcome,
                 reason=answer.reason,
@@ -279,7 +279,7 @@
             typical_seconds=_LEAST_LEFT_SECONDS,
             random=self._rng,
         )
-        if verdict.place is not RetryPlace.OTHER:
+        if decision.place is not RetryPlace.OTHER:
             return False
         self._answers.note_retry(call, answer)
         self._try(call, route, other)
--- a/tests/pressure/test_root_gate.py
+++ b/tests/pressure/test_root_gate.py
@@ -92,11 +92,11 @@
         fleet.report(tick / 10)
         for kind, rate in RATES.items():
             for _ in range(rate // 10):
-                verdict = fleet.admission.verdict(
+                decision = fleet.admission.decision(
                     kind, IMPORTANCE[kind], tick / 10
                 )
                 offered[kind] += 1
-                admitted[kind] += verdict.retry_seconds is None
+                admitted[kind] += decision.retry_seconds is None
     return Counter({kind: admitted[kind] / offered[kind] for kind in RATES})
 
 
@@ -127,14 +127,14 @@
         """The demand of an internal kind is part of that of its callers."""
         fleet = Fleet(1.2)
         # Its requests arrive before the kind is known to be internal.
-        fleet.admission.verdict('sync', 1, 0)
+        fleet.admission.decision('sync', 1, 0)
         fleet.arrivals.learn('m', {'sync': 96_000}, 1, 0)
         for _ in range(3):
             fleet.callers.learn('top', 'n', {'check': 99, 'sync': 960})
             fleet.callers.learn('bottom', 'm', {'check': 99})
         fleet.report(0)
-        verdicts = [fleet.admission.verdict('check', 2, 1) for _ in range(50)]
-        assert all(each.retry_seconds is None for each in verdicts)
+        decisions = [fleet.admission.decision('check', 2, 1) for _ in range(50)]
+        assert all(each.retry_seconds is None for each in decisions)
 
     def test_leaves_other_kinds_alone(self) -> None:
         """A kind that does not use ``bottom`` is not refused for it."""
@@ -146,17 +146,21 @@
         fleet.report(0)
         assert fleet.admission.fleet_capacity.slots_of('bottom', 1) > 0
         assert fleet.admission.fleet_capacity.slots_of('bottom', 10) == 0
-        verdicts = [fleet.admission.verdict('check', 2, 10) for _ in range(50)]
-        assert all(each.retry_seconds is None for each in verdicts)
+        decisions = [
+            fleet.admission.decision('check', 2, 10) for _ in range(50)
+        ]
+        assert all(each.retry_seconds is None for each in decisions)
 
     def test_refusal_has_a_retry_time(self) -> None:
         """A refusal carries a jittered retry time of less than a second."""
         fleet = Fleet(0.02)
         fleet.report(0)
-        verdicts = [fleet.admission.verdict('check', 2, 1) for _ in range(300)]
+        decisions = [
+            fleet.admission.decision('check', 2, 1) for _ in range(300)
+        ]
         waits = {
             each.retry_seconds
-            for each in verdicts
+            for each in decisions
             if each.retry_seconds is not None
         }
         assert len(waits) > 100
@@ -193,12 +197,12 @@
             (Fleet(0.02), Shortage.SLOTS),
         ):
             fleet.report(0)
-            verdicts = [
-                fleet.admission.verdict('check', 2, 1) for _ in range(50)
+            decisions = [
+                fleet.admission.decision('check', 2, 1) for _ in range(50)
             ]
-            found = {each.shortage for each in verdicts if each.retry_seconds}
+            found = {each.shortage for each in decisions if each.retry_seconds}
             assert found == {shortage}
-            assert {each.service for each in verdicts} == {'bottom'}
+            assert {each.service for each in decisions} == {'bottom'}
 
     def test_leaves_other_kinds_alone(self) -> None:
         """A kind that makes no calls there is not refused for it."""
