--- a/src/lovageshunt/retries/__init__.py
+++ b/src/lovageshunt/retries/__init__.py
@@ -1,4 +1,4 @@
-"""The allowance of a root request, local budgets and crash quarantine."""
+"""Retry allowance of a root request, retry budgets and crash quarantine."""
 
 from lovageshunt.retries._allowance import AllowanceShare, allowance_for
 from lovageshunt.retries._budget import RetryBudget, RetryBudgetSettings
@@ -13,7 +13,7 @@
     FleetRetryBudget,
     FleetRetryBudgets,
 )
-from lovageshunt.retries._outcome_tracker import OutcomeTracker, merge_calls
+from lovageshunt.retries._outcome_tracker import OutcomeTracker, merge_outcomes
 from lovageshunt.retries._pool import AllowancePool
 from lovageshunt.retries._quarantine import Quarantine, QuarantineSettings
 from lovageshunt.retries._quarantine_messages import (
@@ -34,14 +34,15 @@
 __all__ = [
     'AllowancePool',
     'AllowanceShare',
+    'AttemptFailure',
     'CallEnded',
     'CallStarting',
-    'OutcomeTracker',
     'FailCondemned',
-    'AttemptFailure',
     'FleetBudgetSettings',
     'FleetRetryBudget',
     'FleetRetryBudgets',
+    'NotifyPeers',
+    'OutcomeTracker',
     'PeerReported',
     'Proceed',
     'Quarantine',
@@ -51,13 +52,12 @@
     'RefuseTemporarily',
     'RetryBudget',
     'RetryBudgetSettings',
-    'RetryPlace',
     'RetryDecision',
+    'RetryPlace',
     'SuspectReport',
     'Suspicion',
     'TargetCrashed',
-    'NotifyPeers',
     'allowance_for',
     'decide_retry',
-    'merge_calls',
+    'merge_outcomes',
 ]
--- a/src/lovageshunt/retries/_allowance.py
+++ b/src/lovageshunt/retries/_allowance.py
@@ -1,23 +1,22 @@
-"""The division of a root request's retries over its attempts."""
+"""Divides the retry allowance of a root request among its attempts."""
 
 from typing import Final
 
 from lovageshunt._record import Record
 
-#: One in so many retries of the bound is kept for the caller's resends.
+#: One in this many retries of the bound is reserved for the caller's resends.
 _RESEND_DIVISOR: Final = 3
 
 
 class AllowanceShare(Record):
-    """What one attempt of a root request may spend below it.
+    """The retries that all calls below one attempt may use together.
 
-    ``is_last`` is true when the bound leaves no further resend.
+    ``is_last`` is true when the bound allows no further resend.
     """
 
     __slots__ = ('retries', 'is_last')
 
     def __init__(self, *, retries: int, is_last: bool) -> None:
-        """Take the retries and whether a resend may follow."""
         self.retries = retries
         self.is_last = is_last
 
@@ -25,10 +24,11 @@
 def allowance_for(bound: int, attempt: int) -> AllowanceShare | None:
     """Return the share of one attempt, fixed in advance for every attempt.
 
-    ``bound`` is the number of retries that one root request may cause, the
-    caller's resends among them. Any node that a resend enters comes to the
-    same share. An ``attempt`` of 0 is unknown: it gets nothing to spend.
-    Returns ``None`` when the attempt is beyond the bound.
+    ``bound`` is the number of retries that one root request may cause,
+    including the caller's resends. Every node computes the same share, so a
+    resend may enter at any of them. An ``attempt`` of 0 means that the number
+    is unknown: its share is 0 retries. Returns ``None`` when the attempt is
+    beyond the bound.
     """
     resends = _resends_within(bound)
     if attempt > resends + 1:
--- a/src/lovageshunt/retries/_decision.py
+++ b/src/lovageshunt/retries/_decision.py
@@ -1,4 +1,4 @@
-"""Whether the hop that saw a failure retries it."""
+"""Decides whether the hop that saw a failure retries it."""
 
 from enum import StrEnum
 from random import Random
@@ -14,10 +14,10 @@
 _BACKOFF_SECONDS: Final = 0.02
 _MAX_BACKOFF_SECONDS: Final = 1.0
 #: How often one call is sent to targets that refuse it although there were
-#: slots: of a target that refuses every other call, one call in 64 is left.
-_MOST_SHED_TRIES: Final = 6
-#: Refusals of one node that say nothing of the others.
-_MOVES_ON: Final = frozenset(
+#: free slots: if they refuse every other call, one call in 64 still fails.
+_MAX_SHED_TRIES: Final = 6
+#: Reasons of one node that need not apply to another target.
+_RETRIED_ELSEWHERE: Final = frozenset(
     (
         RefusalReason.LEAVING,
         RefusalReason.SETTLING,
@@ -29,15 +29,16 @@
         RefusalReason.TARGET_FAILED,
     )
 )
-#: Failures of the call's own target or connection, not of a call below it.
+#: Failures of the call's own target or connection, not of a nested call.
 _OWN_FAILURES: Final = frozenset(
     (
         RefusalReason.CONNECTION_LOST,
         RefusalReason.TARGET_FAILED,
     )
 )
-#: Doubts that an inquiry at the target's node may settle later.
-_DOUBTS: Final = frozenset(
+#: Reasons of an unknown outcome that an inquiry at the target's node may
+#: resolve later.
+_RESOLVABLE: Final = frozenset(
     (
         RefusalReason.IN_DOUBT,
         RefusalReason.CONNECTION_LOST,
@@ -48,10 +49,10 @@
 
 
 class RetryPlace(StrEnum):
-    """Where a retry goes.
+    """Where a retry is sent.
 
-    ``OTHER``: to another target of the service. ``HOME``: to the stamped
-    home, or unstamped as an inquiry when there is none.
+    ``OTHER``: to another target of the service. ``HOME``: to the home node
+    that the call names; without one, it is sent without a home, as an inquiry.
     """
 
     OTHER = 'other'
@@ -59,10 +60,11 @@
 
 
 class AttemptFailure(Record):
-    """How one attempt ended, as the hop that made it saw it.
+    """How one attempt ended, as seen by the hop that made it.
 
-    ``tries`` counts the attempts that this hop made. ``was_retried_below``
-    is true when the answer gave back less than the attempt's share.
+    ``tries`` counts the attempts that this hop made, ``other_targets`` the
+    targets that it can still try. ``was_retried_below`` is true when the
+    answer gave back less than the attempt's share of retries.
     """
 
     __slots__ = (
@@ -84,7 +86,6 @@
         was_retried_below: bool = False,
         other_targets: int = 1,
     ) -> None:
-        """Take what the answer, or its lack, says."""
         self.outcome = outcome
         self.reason = reason
         self.retry_after_ms = retry_after_ms
@@ -94,7 +95,10 @@
 
 
 class RetryDecision(Record):
-    """``place`` is ``None`` when the failure travels up as it is."""
+    """Where to retry, and the wait before it in seconds.
+
+    ``place`` is ``None`` when the failure is passed upstream as it is.
+    """
 
     __slots__ = ('place', 'delay_seconds')
 
@@ -104,13 +108,11 @@
         place: RetryPlace | None = None,
         delay_seconds: float = 0,
     ) -> None:
-        """Take the place and the wait before the retry."""
         self.place = place
         self.delay_seconds = delay_seconds
 
     @property
     def is_retry(self) -> bool:
-        """Return whether the hop retries."""
         return self.place is not None
 
 
@@ -125,11 +127,11 @@
     typical_seconds: float,
     random: Random,
 ) -> RetryDecision:
-    """Decide on a retry and, when it is to be made, spend it.
+    """Decide on a retry and, if it is made, spend it from pool and budget.
 
-    A retry is made only where the failure arose at this hop's own call, the
-    deadline leaves room for a typical answer, and both the request's share
-    and the local budget have one left.
+    A retry is made only if the failure arose at this hop's own call, if there
+    is time for a typical answer (``typical_seconds``) before the deadline, and
+    if both the request's pool and the budget have a retry left.
     """
     place = _place_of(failure, is_repeatable=is_repeatable)
     if place is None:
@@ -152,20 +154,20 @@
         return _place_of_not_run(failure)
     if is_repeatable and failure.reason in _OWN_FAILURES:
         return RetryPlace.OTHER if failure.other_targets else RetryPlace.HOME
-    is_doubt = failure.outcome is Outcome.UNKNOWN
-    if is_doubt and not is_repeatable and failure.reason in _DOUBTS:
+    is_unknown = failure.outcome is Outcome.UNKNOWN
+    if is_unknown and not is_repeatable and failure.reason in _RESOLVABLE:
         return RetryPlace.HOME
     return None
 
 
 def _place_of_not_run(failure: AttemptFailure) -> RetryPlace | None:
-    if failure.reason not in _MOVES_ON or not failure.other_targets:
+    if failure.reason not in _RETRIED_ELSEWHERE or not failure.other_targets:
         return None
     is_full = failure.reason is RefusalReason.QUEUE_FULL
     if is_full and failure.tries > 1:
         return None
     is_shed = failure.reason is RefusalReason.SHED
-    if is_shed and failure.tries >= _MOST_SHED_TRIES:
+    if is_shed and failure.tries >= _MAX_SHED_TRIES:
         return None
     return RetryPlace.OTHER
 
@@ -173,6 +175,6 @@
 def _delay_of(failure: AttemptFailure, random: Random) -> float:
     if failure.outcome is Outcome.NOT_RUN:
         return 0
-    asked = failure.retry_after_ms / _MS_PER_SECOND
-    doubled = _BACKOFF_SECONDS * 2 ** min(failure.tries, 10)
-    return asked + random.uniform(0, min(doubled, _MAX_BACKOFF_SECONDS))
+    requested = failure.retry_after_ms / _MS_PER_SECOND
+    backoff = _BACKOFF_SECONDS * 2 ** min(failure.tries, 10)
+    return requested + random.uniform(0, min(backoff, _MAX_BACKOFF_SECONDS))
--- a/src/lovageshunt/retries/_fleet_budget.py
+++ b/src/lovageshunt/retries/_fleet_budget.py
@@ -1,4 +1,4 @@
-"""One retry budget for a fleet, divided among nodes that do not ask."""
+"""A fleet-wide retry budget, divided among nodes without coordination."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -7,20 +7,21 @@
 
 from lovageshunt._record import Record
 
-#: The share of the fleet's budget that its nodes use between them: what is
-#: left covers windows that slide and nodes that do not know of one another.
-_USED_SHARE: Final = 0.7
-#: How many times its even part a bucket may spend on refused calls: a little
-#: more, so that the parts that some buckets leave are used.
-_PACE: Final = 1.2
-#: Buckets in one window.
+#: The fraction of the fleet's budget that its nodes use together: the rest is
+#: a margin for sliding windows and for nodes that do not know of one another.
+_USED_FRACTION: Final = 0.7
+#: How many times its even part a bucket may spend on refused calls: above 1,
+#: so that what other buckets leave unspent is used.
+_MAX_PACE: Final = 1.2
+#: Number of buckets in a window.
 _BUCKETS: Final = 10
 
 
 class FleetBudgetSettings(Record):
-    """In each window a service may get so many retries from the fleet.
+    """How many retries the fleet may send to a service in each window.
 
-    ``ratio`` retries for each request, and ``reserve`` more.
+    In ``window_seconds`` these are ``ratio`` retries for each request, and
+    ``reserve`` more.
     """
 
     __slots__ = ('ratio', 'reserve', 'window_seconds')
@@ -32,38 +33,38 @@
         reserve: float,
         window_seconds: float,
     ) -> None:
-        """Take every field by name."""
         self.ratio = ratio
         self.reserve = reserve
         self.window_seconds = window_seconds
 
 
 class _Bucket:
-    """The requests and retries of a tenth of a window."""
+    """The requests and retries of a tenth of a window.
+
+    ``number`` counts buckets from time 0.
+    """
 
     __slots__ = ('number', 'requests', 'retries')
 
     def __init__(self, number: float) -> None:
-        """Begin with none."""
         self.number = number
         self.requests = float(0)
         self.retries = float(0)
 
 
 class FleetRetryBudget:
-    """This node's part of the budget for retries to one service.
+    """This node's part of the fleet's budget for retries to one service.
 
-    It counts the requests that this node sent itself, of which the ratio is
-    its own, and takes an equal part of the reserve. A window allows retries
-    for its own requests, for those of the window before it, or for those half
-    a window before it, whichever are most; so when requests become few, as
-    they do when many are refused, the retries of those that are left go on.
+    It is the ratio of the requests that this node sent itself, and an equal
+    part of the reserve: one of ``node_count`` parts. A window allows retries
+    for the requests in it, in the window before it, or in the window half a
+    window before it, whichever has most. So when requests become few, as they
+    do when many are refused, the remaining ones can still be retried.
     """
 
     __slots__ = ('_settings', '_buckets', 'node_count')
 
     def __init__(self, settings: FleetBudgetSettings) -> None:
-        """Begin with no requests; ``node_count`` divides the reserve."""
         self._settings = settings
         self._buckets: deque[_Bucket] = deque()
         self.node_count = 1
@@ -73,48 +74,48 @@
         self._bucket(now).requests += 1
 
     def count_nested_retry(self, now: float) -> None:
-        """Count a call that a run makes which was a repeat itself.
+        """Count a call made by a run that is a retry itself.
 
-        It is a repeat at the service that is called, and nobody asks whether
-        there was one left: the run above would fail without it.
+        It is a retry at the called service, and is counted even beyond the
+        budget: without it the calling run would fail.
         """
         self._bucket(now).retries += 1
 
     def may_spend(self, now: float, count: float = 1) -> bool:
-        """Tell whether so many retries are there.
+        """Return whether the budget allows ``count`` more retries now.
 
-        They are if every window that this moment is or will be in has room
-        for them, even if no more requests come.
+        It does if every window that contains this moment stays within its
+        limit, even if no more requests arrive.
         """
         recent = self._recent(now)
-        requests = _sums(bucket.requests for bucket in recent)
-        retries = _sums(bucket.retries for bucket in recent)
+        requests = _prefix_sums(bucket.requests for bucket in recent)
+        retries = _prefix_sums(bucket.retries for bucket in recent)
         return all(
-            _latest(retries, later) + count
-            <= self._allowed(_most_requests(requests, later))
+            _count_in_window(retries, later) + count
+            <= self._allowed(_max_requests(requests, later))
             for later in range(_BUCKETS)
         )
 
     def spend(self, now: float, count: float = 1) -> bool:
-        """Spend retries; return whether they were there."""
+        """Spend retries if the budget allows; return whether it did."""
         if not self.may_spend(now, count):
             return False
         self._bucket(now).retries += count
         return True
 
     def keeps_pace(self, now: float) -> bool:
-        """Tell whether this moment has spent no more than its even part.
+        """Return whether the current bucket is within its even part.
 
-        When a service begins to refuse calls, all of them together would
-        spend what a window allows within a second.
+        Otherwise, when a service begins to refuse calls, their retries would
+        use up the budget of a window within a second.
         """
         part = self.per_second(now) * self._bucket_seconds
-        return self._bucket(now).retries < _PACE * part
+        return self._bucket(now).retries < _MAX_PACE * part
 
     def per_second(self, now: float) -> float:
-        """Return the retries a second that a window allows, spent or not."""
-        requests = _sums(each.requests for each in self._recent(now))
-        allowed = self._allowed(_most_requests(requests, 0))
+        """Return the retries a second that the budget allows, spent or not."""
+        requests = _prefix_sums(each.requests for each in self._recent(now))
+        allowed = self._allowed(_max_requests(requests, 0))
         return allowed / self._settings.window_seconds
 
     @property
@@ -124,19 +125,19 @@
     def _allowed(self, requests: float) -> float:
         settings = self._settings
         reserve = settings.reserve / max(1, self.node_count)
-        return _USED_SHARE * (settings.ratio * requests + reserve)
+        return _USED_FRACTION * (settings.ratio * requests + reserve)
 
     def _recent(self, now: float) -> list[_Bucket]:
-        """Return the buckets of two windows, the present one last."""
+        """Return the buckets of the last two windows, oldest first."""
         newest = self._bucket(now).number
         by_number = {each.number: each for each in self._buckets}
         return [
-            by_number.get(newest - age, _NOTHING)
+            by_number.get(newest - age, _EMPTY_BUCKET)
             for age in range(2 * _BUCKETS - 1, -1, -1)
         ]
 
     def _bucket(self, now: float) -> _Bucket:
-        """Return the bucket of this moment; forget the old ones."""
+        """Return the current bucket; drop those older than two windows."""
         number = now // self._bucket_seconds
         oldest = number - 2 * _BUCKETS
         while self._buckets and self._buckets[0].number <= oldest:
@@ -147,18 +148,20 @@
 
 
 class FleetRetryBudgets:
-    """This node's parts of the budgets for retries, by service."""
+    """This node's parts of the fleet's retry budgets, by service.
+
+    ``node_count`` is the number of nodes that divide each reserve.
+    """
 
     __slots__ = ('_settings', '_by_service', 'node_count')
 
     def __init__(self, settings: FleetBudgetSettings) -> None:
-        """Begin with none; ``node_count`` divides the reserves."""
         self._settings = settings
         self._by_service: dict[str, FleetRetryBudget] = {}
         self.node_count = 1
 
     def of(self, service: str) -> FleetRetryBudget:
-        """Return the budget for retries to a service."""
+        """Return the budget for retries to a service; create it if new."""
         budget = self._by_service.get(service)
         if budget is None:
             budget = FleetRetryBudget(self._settings)
@@ -167,40 +170,41 @@
         return budget
 
     def per_second_by_service(self, now: float) -> dict[str, float]:
-        """Return the retries a second that windows allow, by service."""
+        """Return the retries a second that the budgets allow, by service."""
         return {
             service: budget.per_second(now)
             for service, budget in self._by_service.items()
         }
 
 
-#: Stands for the buckets in which nothing happened.
-_NOTHING: Final = _Bucket(float('-inf'))
+#: Used for buckets without any request or retry.
+_EMPTY_BUCKET: Final = _Bucket(float('-inf'))
 
 
-def _sums(counts: Iterable[float]) -> list[float]:
-    """Return the sums of the first none, one, two and more counts."""
+def _prefix_sums(counts: Iterable[float]) -> list[float]:
+    """Return the prefix sums of some counts, from 0 to the total."""
     return list(accumulate(counts, initial=float(0)))
 
 
-def _latest(sums: list[float], later: int) -> float:
-    """Return what so far lies in a window that ends so many buckets later.
+def _count_in_window(sums: list[float], later: int) -> float:
+    """Return the count so far in the window that ends ``later`` buckets on.
 
-    It is a bucket longer than a window, as windows end at any moment.
+    It includes one bucket more than a window has, because windows may end
+    within a bucket.
     """
     return sums[-1] - sums[_BUCKETS - 1 + later]
 
 
-def _most_requests(sums: list[float], later: int) -> float:
-    """Return the requests that a window may go by.
+def _max_requests(sums: list[float], later: int) -> float:
+    """Return the number of requests that limits the retries of a window.
 
-    ``sums`` are those of the buckets of two windows, ``later`` by how many
-    buckets the window ends after the present one.
+    ``sums`` are the prefix sums over the buckets of two windows; the window
+    ends ``later`` buckets after the current one.
     """
-    most = 2 * _BUCKETS
-    half_ends = min(later + _BUCKETS + _BUCKETS // 2, most)
+    total = 2 * _BUCKETS
+    half_ends = min(later + _BUCKETS + _BUCKETS // 2, total)
     return max(
-        sums[most] - sums[_BUCKETS + later],
+        sums[total] - sums[_BUCKETS + later],
         sums[_BUCKETS + later] - sums[later],
         sums[half_ends] - sums[later + _BUCKETS // 2],
     )
--- a/src/lovageshunt/retries/_outcome_tracker.py
+++ b/src/lovageshunt/retries/_outcome_tracker.py
@@ -1,15 +1,16 @@
-"""One outcome for a call out of those of its attempts and calls below."""
+"""Derives the outcome of a call from those of its attempts."""
 
 from collections.abc import Iterable
 
 from lovageshunt.calls import Outcome
 
 
-def merge_calls(outcomes: Iterable[Outcome]) -> Outcome:
-    """Return the outcome of a request out of those of its calls.
+def merge_outcomes(outcomes: Iterable[Outcome]) -> Outcome:
+    """Return the outcome of a request from those of its calls.
 
-    It is answered only if each call was, and *not run* only if none was
-    dispatched. No calls count as answered.
+    It is *answered* only if each call was (or there is none), and *not run*
+    only if no call was dispatched. Otherwise it is *unknown* if one call is,
+    else *failed*.
     """
     seen = set(outcomes)
     if seen <= {Outcome.ANSWERED}:
@@ -24,35 +25,37 @@
 class OutcomeTracker:
     """The outcome of one call over all its attempts.
 
-    An attempt that began and has no outcome yet counts as unknown.
+    A started attempt without an outcome counts as *unknown*.
     """
 
-    __slots__ = ('_begun', '_outcomes')
+    __slots__ = ('_started_count', '_outcomes')
 
     def __init__(self) -> None:
-        """Begin with nothing dispatched."""
-        self._begun = 0
+        self._started_count = 0
         self._outcomes: list[Outcome] = []
 
     def begin(self) -> None:
-        """Count an attempt, before its first byte is written."""
-        self._begun += 1
+        """Count an attempt; to be called before its first byte is sent."""
+        self._started_count += 1
 
     def end(self, outcome: Outcome) -> None:
-        """Take the outcome of an attempt that began."""
+        """Record the outcome of one started attempt."""
         self._outcomes.append(outcome)
 
     def prove_not_run(self) -> None:
-        """Take a home's word that no attempt so far ran or will run."""
-        self._outcomes = [Outcome.NOT_RUN for _ in range(self._begun)]
+        """Record that no attempt so far ran or will run.
+
+        To be called when the call's home node guarantees it.
+        """
+        self._outcomes = [Outcome.NOT_RUN for _ in range(self._started_count)]
 
     @property
     def outcome(self) -> Outcome:
-        """Return what the caller may be told now."""
+        """Return the outcome that may be reported to the caller now."""
         if Outcome.ANSWERED in self._outcomes:
             return Outcome.ANSWERED
-        if len(self._outcomes) < self._begun:
+        if len(self._outcomes) < self._started_count:
             return Outcome.UNKNOWN
         if all(each is Outcome.NOT_RUN for each in self._outcomes):
             return Outcome.NOT_RUN
-        return merge_calls(self._outcomes)
+        return merge_outcomes(self._outcomes)
--- a/src/lovageshunt/retries/_pool.py
+++ b/src/lovageshunt/retries/_pool.py
@@ -1,33 +1,33 @@
-"""One hop's share of the allowance, divided over the calls below it."""
+"""Divides one hop's share of the retry allowance among its calls."""
 
 from collections.abc import Collection
 
 
 class AllowancePool:
-    """The retries that one hop and everything below it may still spend.
+    """The retries that one hop and all hops below it may still spend.
 
-    What is handed down is taken from the pool; only an answer brings back
-    what it proves unspent, so a share whose answer is lost is spent.
+    A share that is passed to a call is deducted from the pool. Only an answer
+    returns what is unspent of it, so a share whose answer is lost is spent.
     """
 
     __slots__ = ('_left',)
 
     def __init__(self, left: int) -> None:
-        """Begin with the share that the call carried."""
+        """Start with the share that the call carried; none if negative."""
         self._left = max(0, left)
 
     @property
     def unspent(self) -> int:
-        """Return what this hop's own answer may give back."""
+        """Return the retries that this hop's own answer gives back."""
         return self._left
 
     def share(self, *, calls_below: bool = True) -> int:
-        """Take the share of one sequential call from the pool.
+        """Deduct and return the share of one sequential call.
 
-        The whole pool is handed down, because the hop nearest to a failure
-        retries it, and an answer brings back what was not needed. A service
-        that calls no other has no use for a share: its callers keep theirs,
-        also when its answer is lost.
+        It is the whole pool, because the hop nearest to a failure retries it,
+        and an answer returns what was not needed. A service that calls no
+        other gets no share: it has no use for one, and the pool keeps the
+        retries even if its answer is lost.
         """
         if not calls_below:
             return 0
@@ -39,25 +39,29 @@
         *,
         leaves: Collection[int] = (),
     ) -> list[int]:
-        """Take the shares of parallel calls, set before any of them starts.
+        """Deduct and return the shares of ``count`` parallel calls.
 
-        ``leaves`` are the places of calls to services that call no other.
+        They are fixed before any of the calls starts. ``leaves`` are the
+        indexes of calls to services that call no other; these get none.
         """
-        takers = [at for at in range(count) if at not in leaves]
+        receivers = [at for at in range(count) if at not in leaves]
         shares = [0 for _ in range(count)]
-        if not takers:
+        if not receivers:
             return shares
-        each, remainder = divmod(self._to_hand_down(), len(takers))
-        for order, place in enumerate(takers):
-            shares[place] = self._take(each + int(order < remainder))
+        each, remainder = divmod(self._to_hand_down(), len(receivers))
+        for order, index in enumerate(receivers):
+            shares[index] = self._take(each + int(order < remainder))
         return shares
 
     def give_back(self, *, share: int, unspent: int) -> None:
-        """Return what an answer proves unspent of its share."""
+        """Return to the pool what an answer reports unspent of its share.
+
+        No more than the share is returned, whatever the answer claims.
+        """
         self._left += min(max(0, unspent), share)
 
     def spend_retry(self) -> bool:
-        """Spend one retry or hedge; return whether there was one."""
+        """Spend one retry or hedge; return whether one was available."""
         if self._left == 0:
             return False
         self._left -= 1
--- a/src/lovageshunt/retries/_quarantine.py
+++ b/src/lovageshunt/retries/_quarantine.py
@@ -1,8 +1,9 @@
-"""Keeps a call that crashes targets from crashing more of them.
+"""Stops a call that crashes targets from crashing more of them.
 
-The node outlives its target, so it remembers what was in flight when the
-target went down. These calls are suspects: each runs alone among suspects,
-on one target at a time, until it finishes well or takes down a second one.
+The node outlives its target, so it knows which calls were in flight when the
+target crashed. These calls are suspects: a target runs one suspect at a time,
+and a suspect runs on one target at a time, until it either finishes without a
+crash or crashes a second target.
 """
 
 from functools import singledispatchmethod
@@ -25,16 +26,18 @@
     TargetCrashed,
 )
 
-#: A context that names so many crashed targets condemns the call.
+#: A call whose context counts this many crashed targets is condemned.
 _MAX_CRASHES: Final = 2
 _MS_PER_SECOND: Final = 1000
 
 
 class QuarantineSettings(Record):
-    """How long suspicion lasts, and how much of it is kept.
+    """How long suspects are kept, and how many.
 
-    ``busy_retry_ms`` is when a suspect may come back while another runs.
-    ``trial_seconds`` is how long the news of a trial elsewhere binds.
+    Entries expire after ``suspect_seconds`` or ``condemned_seconds``; beyond
+    ``max_suspects`` the oldest is dropped. ``busy_retry_ms`` is the retry time
+    of a suspect that is refused while another one runs. ``trial_seconds`` is
+    how long a peer's report of a trial keeps the suspect from running here.
     """
 
     __slots__ = (
@@ -54,7 +57,6 @@
         busy_retry_ms: int = 100,
         max_suspects: int = 4096,
     ) -> None:
-        """Take every bound by name."""
         self.suspect_seconds = suspect_seconds
         self.condemned_seconds = condemned_seconds
         self.trial_seconds = trial_seconds
@@ -62,34 +64,40 @@
         self.max_suspects = max_suspects
 
 
-class _Case(Record):
-    """What is held against one fingerprint, and until when."""
+class _Entry(Record):
+    """One suspected or condemned fingerprint, and when the entry expires.
+
+    Until ``trial_until`` a peer runs the suspect.
+    """
 
     __slots__ = ('is_condemned', 'expires_at', 'trial_until')
 
     def __init__(self, *, is_condemned: bool, expires_at: float) -> None:
-        """Begin with no trial elsewhere."""
         self.is_condemned = is_condemned
         self.expires_at = expires_at
         self.trial_until = float(0)
 
 
 class Quarantine:
-    """The cases known to one node and the calls in flight to its target."""
+    """The suspects known to one node and the calls in flight to its target."""
 
-    __slots__ = ('_settings', '_case_by_fingerprint', '_flight_by_id', '_trial')
+    __slots__ = (
+        '_settings',
+        '_entry_by_fingerprint',
+        '_in_flight_by_id',
+        '_trial_call_id',
+    )
 
     def __init__(self, settings: QuarantineSettings) -> None:
-        """Begin with no suspects."""
         self._settings = settings
-        self._case_by_fingerprint: dict[str, _Case] = {}
-        self._flight_by_id: dict[str, CallStarting] = {}
-        self._trial: str | None = None
+        self._entry_by_fingerprint: dict[str, _Entry] = {}
+        self._in_flight_by_id: dict[str, CallStarting] = {}
+        self._trial_call_id: str | None = None
 
     @property
-    def case_count(self) -> int:
-        """Return how many fingerprints are held."""
-        return len(self._case_by_fingerprint)
+    def entry_count(self) -> int:
+        """Return the number of suspected and condemned fingerprints."""
+        return len(self._entry_by_fingerprint)
 
     @singledispatchmethod
     def handle(
@@ -97,9 +105,9 @@
         event: QuarantineEvent,
         now: float,
     ) -> list[QuarantineAction]:
-        """Return what the node must do about an event, in order.
+        """Return the actions that an event requires, in order.
 
-        Raises ``UnknownEventError`` when the event is none of this package.
+        Raises ``UnknownEventError`` for an event of an unknown type.
         """
         raise UnknownEventError(event)
 
@@ -109,24 +117,26 @@
         event: CallStarting,
         now: float,
     ) -> list[QuarantineAction]:
-        case = self._case_of(event, now)
-        if case is None:
-            self._flight_by_id[event.call_id] = event
+        entry = self._entry_of(event, now)
+        if entry is None:
+            self._in_flight_by_id[event.call_id] = event
             return [Proceed(call_id=event.call_id)]
-        if case.is_condemned:
-            left_ms = round((case.expires_at - now) * _MS_PER_SECOND)
+        if entry.is_condemned:
+            remaining_ms = round((entry.expires_at - now) * _MS_PER_SECOND)
             return [
-                FailCondemned(call_id=event.call_id, retry_after_ms=left_ms)
+                FailCondemned(
+                    call_id=event.call_id, retry_after_ms=remaining_ms
+                )
             ]
-        if self._trial is not None or now < case.trial_until:
+        if self._trial_call_id is not None or now < entry.trial_until:
             busy_ms = self._settings.busy_retry_ms
             return [
                 RefuseTemporarily(call_id=event.call_id, retry_after_ms=busy_ms)
             ]
-        self._trial = event.call_id
-        self._flight_by_id[event.call_id] = event
+        self._trial_call_id = event.call_id
+        self._in_flight_by_id[event.call_id] = event
         return [
-            _tell(event.fingerprint, Suspicion.ON_TRIAL),
+            _notification(event.fingerprint, Suspicion.ON_TRIAL),
             Proceed(call_id=event.call_id),
         ]
 
@@ -136,14 +146,14 @@
         event: CallEnded,
         now: float,
     ) -> list[QuarantineAction]:
-        call = self._flight_by_id.pop(event.call_id, None)
-        if call is None or self._trial != event.call_id:
+        call = self._in_flight_by_id.pop(event.call_id, None)
+        if call is None or self._trial_call_id != event.call_id:
             return []
-        self._trial = None
+        self._trial_call_id = None
         if not event.is_complete:
-            return [_tell(call.fingerprint, Suspicion.SUSPECTED)]
-        self._case_by_fingerprint.pop(call.fingerprint, None)
-        return [_tell(call.fingerprint, Suspicion.CLEARED)]
+            return [_notification(call.fingerprint, Suspicion.SUSPECTED)]
+        self._entry_by_fingerprint.pop(call.fingerprint, None)
+        return [_notification(call.fingerprint, Suspicion.CLEARED)]
 
     @handle.register
     def _on_crashed(
@@ -154,16 +164,16 @@
         reports = tuple(
             SuspectReport(
                 fingerprint=call.fingerprint,
-                suspicion=self._blame(call),
+                suspicion=self._suspicion_after_crash(call),
             )
-            for call in self._flight_by_id.values()
+            for call in self._in_flight_by_id.values()
         )
-        self._flight_by_id = {}
-        self._trial = None
+        self._in_flight_by_id = {}
+        self._trial_call_id = None
         if not reports:
             return []
         for report in reports:
-            self._learn(report, now)
+            self._apply_report(report, now)
         return [NotifyPeers(reports=reports)]
 
     @handle.register
@@ -173,59 +183,65 @@
         now: float,
     ) -> list[QuarantineAction]:
         for report in event.reports:
-            self._learn(report, now)
+            self._apply_report(report, now)
         return []
 
-    def _blame(self, call: CallStarting) -> Suspicion:
-        if call.call_id == self._trial or not call.is_repeatable:
+    def _suspicion_after_crash(self, call: CallStarting) -> Suspicion:
+        """Return ``CONDEMNED`` for a call on trial or not repeatable."""
+        if call.call_id == self._trial_call_id or not call.is_repeatable:
             return Suspicion.CONDEMNED
         return Suspicion.SUSPECTED
 
-    def _case_of(self, call: CallStarting, now: float) -> _Case | None:
-        case = self._case_by_fingerprint.get(call.fingerprint)
-        if case is not None and case.expires_at <= now:
-            self._case_by_fingerprint.pop(call.fingerprint)
-            case = None
+    def _entry_of(self, call: CallStarting, now: float) -> _Entry | None:
+        """Return the entry of a call, updated by the call's own context."""
+        entry = self._entry_by_fingerprint.get(call.fingerprint)
+        if entry is not None and entry.expires_at <= now:
+            self._entry_by_fingerprint.pop(call.fingerprint)
+            entry = None
         if call.suspicion == 0:
-            return case
+            return entry
         if call.suspicion >= _MAX_CRASHES or not call.is_repeatable:
-            return self._open(call.fingerprint, now, is_condemned=True)
-        if case is None:
-            return self._open(call.fingerprint, now, is_condemned=False)
-        return case
+            return self._add_entry(call.fingerprint, now, is_condemned=True)
+        if entry is None:
+            return self._add_entry(call.fingerprint, now, is_condemned=False)
+        return entry
 
-    def _learn(self, report: SuspectReport, now: float) -> None:
-        case = self._case_by_fingerprint.get(report.fingerprint)
+    def _apply_report(self, report: SuspectReport, now: float) -> None:
+        entry = self._entry_by_fingerprint.get(report.fingerprint)
         is_condemned = report.suspicion is Suspicion.CONDEMNED
-        if case is not None and case.is_condemned:
+        if entry is not None and entry.is_condemned:
             return
         if report.suspicion is Suspicion.CLEARED:
-            self._case_by_fingerprint.pop(report.fingerprint, None)
+            self._entry_by_fingerprint.pop(report.fingerprint, None)
             return
-        case = self._open(report.fingerprint, now, is_condemned=is_condemned)
+        entry = self._add_entry(
+            report.fingerprint, now, is_condemned=is_condemned
+        )
         if report.suspicion is Suspicion.ON_TRIAL:
-            case.trial_until = now + self._settings.trial_seconds
+            entry.trial_until = now + self._settings.trial_seconds
 
-    def _open(
+    def _add_entry(
         self,
         fingerprint: str,
         now: float,
         *,
         is_condemned: bool,
-    ) -> _Case:
+    ) -> _Entry:
         settings = self._settings
-        lasting = settings.suspect_seconds
+        lifetime_seconds = settings.suspect_seconds
         if is_condemned:
-            lasting = settings.condemned_seconds
-        cases = self._case_by_fingerprint
-        cases.pop(fingerprint, None)
-        if len(cases) >= settings.max_suspects:
-            cases.pop(next(iter(cases)))
-        case = _Case(is_condemned=is_condemned, expires_at=now + lasting)
-        cases[fingerprint] = case
-        return case
+            lifetime_seconds = settings.condemned_seconds
+        entries = self._entry_by_fingerprint
+        entries.pop(fingerprint, None)
+        if len(entries) >= settings.max_suspects:
+            entries.pop(next(iter(entries)))
+        entry = _Entry(
+            is_condemned=is_condemned, expires_at=now + lifetime_seconds
+        )
+        entries[fingerprint] = entry
+        return entry
 
 
-def _tell(fingerprint: str, suspicion: Suspicion) -> NotifyPeers:
+def _notification(fingerprint: str, suspicion: Suspicion) -> NotifyPeers:
     report = SuspectReport(fingerprint=fingerprint, suspicion=suspicion)
     return NotifyPeers(reports=(report,))
--- a/src/lovageshunt/retries/_quarantine_messages.py
+++ b/src/lovageshunt/retries/_quarantine_messages.py
@@ -1,4 +1,4 @@
-"""What the quarantine is told, and what it asks of its node."""
+"""Events that the quarantine handles and actions that it requests."""
 
 from enum import StrEnum
 
@@ -6,11 +6,12 @@
 
 
 class Suspicion(StrEnum):
-    """What nodes tell one another of a fingerprint.
+    """The state of a fingerprint, as nodes report it to one another.
 
-    ``SUSPECTED``: in flight when a target went down. ``ON_TRIAL``: a suspect
-    runs now, so it runs nowhere else. ``CLEARED``: a suspect finished well.
-    ``CONDEMNED``: it took down a target again, or may not run again.
+    ``SUSPECTED``: it was in flight when a target crashed. ``ON_TRIAL``: the
+    suspect runs now, and must not run elsewhere meanwhile. ``CLEARED``: the
+    suspect finished without a crash. ``CONDEMNED``: it crashed a target again,
+    or crashed one and must not be repeated.
     """
 
     SUSPECTED = 'suspected'
@@ -20,21 +21,20 @@
 
 
 class SuspectReport(Record):
-    """One fingerprint and what is to be held against it."""
+    """A fingerprint and its reported state."""
 
     __slots__ = ('fingerprint', 'suspicion')
 
     def __init__(self, *, fingerprint: str, suspicion: Suspicion) -> None:
-        """Take the fingerprint and the news of it."""
         self.fingerprint = fingerprint
         self.suspicion = suspicion
 
 
 class CallStarting(Record):
-    """A call would be dispatched to the target next.
+    """A call is about to be dispatched to the target.
 
-    ``suspicion`` counts the targets that the call's context says went down
-    while running it.
+    ``suspicion`` is the number of targets that crashed while running the
+    call, according to its context.
     """
 
     __slots__ = ('call_id', 'fingerprint', 'suspicion', 'is_repeatable')
@@ -47,7 +47,6 @@
         is_repeatable: bool,
         suspicion: int = 0,
     ) -> None:
-        """Name the call and its fingerprint."""
         self.call_id = call_id
         self.fingerprint = fingerprint
         self.suspicion = suspicion
@@ -57,62 +56,60 @@
 class CallEnded(Record):
     """A call ended while its target stayed up.
 
-    ``is_complete`` is true when the target answered it, with whatever
-    status; a call that was cut off clears nobody.
+    ``is_complete`` is true when the target answered, with any status. A call
+    that was cut off does not clear its fingerprint.
     """
 
     __slots__ = ('call_id', 'is_complete')
 
     def __init__(self, *, call_id: str, is_complete: bool) -> None:
-        """Name the call and whether its target answered."""
         self.call_id = call_id
         self.is_complete = is_complete
 
 
 class TargetCrashed(Record):
-    """The target went down; every call in flight ended with it."""
+    """The target crashed; all its calls in flight ended."""
 
     __slots__ = ()
 
 
 class PeerReported(Record):
-    """A peer tells what it knows of fingerprints."""
+    """A peer sent reports on fingerprints."""
 
     __slots__ = ('reports',)
 
     def __init__(self, *, reports: tuple[SuspectReport, ...]) -> None:
-        """Take the reports."""
         self.reports = reports
 
 
 class Proceed(Record):
-    """Dispatch the call."""
+    """Dispatch the call to the target."""
 
     __slots__ = ('call_id',)
 
     def __init__(self, *, call_id: str) -> None:
-        """Name the call."""
         self.call_id = call_id
 
 
 class RefuseTemporarily(Record):
-    """Answer *not run*, quarantine: another suspect, or this one, runs."""
+    """Answer *not run*, reason quarantine: a suspect is running already.
+
+    It may be another one, or the same one on another target.
+    """
 
     __slots__ = ('call_id', 'retry_after_ms')
 
     def __init__(self, *, call_id: str, retry_after_ms: int) -> None:
-        """Name the call and when to come back."""
         self.call_id = call_id
         self.retry_after_ms = retry_after_ms
 
 
 class FailCondemned(Record):
-    """Answer *failed*, quarantine, at once."""
+    """Answer *failed*, reason quarantine, without running the call."""
 
     __slots__ = ('call_id', 'retry_after_ms')
 
     def __init__(self, *, call_id: str, retry_after_ms: int) -> None:
-        """Name the call and when to come back."""
         self.call_id = call_id
         self.retry_after_ms = retry_after_ms
 
@@ -123,7 +120,6 @@
     __slots__ = ('reports',)
 
     def __init__(self, *, reports: tuple[SuspectReport, ...]) -> None:
-        """Take the reports."""
         self.reports = reports
 
 
--- a/tests/pressure/test_root_gate.py
+++ b/tests/pressure/test_root_gate.py
@@ -124,7 +124,7 @@
         assert 0.85 < calls * 0.01 / (0.5 * USED_SLOTS) < 1.02
 
     def test_counts_no_call_twice(self) -> None:
-        """The demand of an internal kind is part of that of its callers."""
+        """An internal kind counts only in the demand of those that call it."""
         fleet = Fleet(1.2)
         # Its requests arrive before the kind is known to be internal.
         fleet.admission.decision('sync', 1, 0)
--- a/tests/retries/test_allowance.py
+++ b/tests/retries/test_allowance.py
@@ -1,4 +1,4 @@
-"""The division of a root request's retries over its attempts."""
+"""Dividing a root request's retry allowance among its attempts."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,7 +11,7 @@
 
     @given(bound=st.integers(0, 60))
     def test_shares_and_resends_sum_to_the_bound(self, bound):
-        """All attempts together spend no more than the bound."""
+        """All attempts together use no more retries than the bound."""
         shares = [allowance_for(bound, attempt) for attempt in range(1, 70)]
         allowed = [share for share in shares if share is not None]
 
@@ -20,13 +20,13 @@
 
     @given(bound=st.integers(0, 60))
     def test_attempt_without_a_number_has_nothing_to_spend(self, bound):
-        """Resends that cannot be told apart open no allowance."""
+        """Resends that cannot be distinguished get no retries."""
         share = allowance_for(bound, 0)
 
         assert share.retries == 0
         assert share.is_last
 
     def test_attempt_beyond_the_bound_is_refused(self):
-        """A resend that the bound does not hold has no share."""
+        """A resend in excess of the bound gets no share."""
         assert allowance_for(3, 2) is not None
         assert allowance_for(3, 3) is None
--- a/tests/retries/test_bound.py
+++ b/tests/retries/test_bound.py
@@ -1,4 +1,4 @@
-"""One request's retries stay within its bound, counted at the targets."""
+"""The retries of one request, counted at the targets, keep its bound."""
 
 from random import Random
 
@@ -14,13 +14,13 @@
 
 
 class _CopyingPool(AllowancePool):
-    """Gives every call the whole share and takes nothing for it."""
+    """Gives every call the whole share without deducting it."""
 
     def _take(self, count):
         return self._left
 
     def give_back(self, *, share, unspent):
-        """Have nothing to return."""
+        """Return nothing, as nothing was deducted."""
 
 
 def _retries(seed, *, depth, odds, bound, resends, pool_factory=AllowancePool):
@@ -33,7 +33,7 @@
 
 
 class TestBound:
-    """The sum of all retries below one root request."""
+    """The sum of all retries in the call tree of one root request."""
 
     @given(
         seed=_SEEDS,
@@ -43,7 +43,7 @@
         resends=st.integers(0, 8),
     )
     def test_never_exceeded(self, seed, depth, odds, bound, resends):
-        """No fault, loss or resend makes targets see more retries."""
+        """No failure, lost answer or resend leads to more retries."""
         retries = _retries(
             seed,
             depth=depth,
@@ -55,7 +55,7 @@
         assert retries <= bound
 
     def test_copied_allowance_exceeds_it(self):
-        """Where each call gets the whole allowance, the bound is broken."""
+        """If each call gets the whole allowance, the bound is exceeded."""
         retries = [
             _retries(
                 seed,
--- a/tests/retries/test_fleet_budget.py
+++ b/tests/retries/test_fleet_budget.py
@@ -1,4 +1,4 @@
-"""One retry budget for a fleet."""
+"""The fleet-wide retry budget."""
 
 import pytest
 from hypothesis import given
@@ -20,22 +20,22 @@
 
 
 def count(times: list[float], end: float) -> int:
-    """Count what lies in the window that ends at a time."""
+    """Count the times within the window that ends at ``end``."""
     return sum(end - 10 < each <= end for each in times)
 
 
 def allowed(requests: list[float], end: float) -> float:
-    """Return the retries that a window may hold.
+    """Return the retries that the window ending at ``end`` allows.
 
-    Requests count in it, in the one before it, or in the one half a window
-    before it, whichever has most.
+    They follow the requests in it, in the window before it, or in the window
+    half a window before it, whichever has most.
     """
-    most = max(count(requests, end - ago) for ago in (0, 5, 10))
-    return 0.2 * most + 40
+    highest = max(count(requests, end - ago) for ago in (0, 5, 10))
+    return 0.2 * highest + 40
 
 
 class TestFleetRetryBudget:
-    """A node's part."""
+    """One node's part of the budget."""
 
     @given(
         st.lists(
@@ -47,7 +47,7 @@
         self,
         steps: list[tuple[int, float, bool]],
     ) -> None:
-        """Four nodes that do not ask one another stay within the budget."""
+        """Four nodes stay within the budget without coordination."""
         nodes = [budget_of(4) for _ in range(4)]
         now = 0.0
         requests: list[float] = []
@@ -60,27 +60,27 @@
             elif nodes[at].spend(now):
                 retries.append(now)
         for retried_at in retries:
-            # A window may end at any moment, also after the last retry.
+            # Also check windows that end after the last retry.
             for later in range(11):
                 end = retried_at + later
                 assert count(retries, end) <= allowed(requests, end)
 
     def test_divides_the_reserve(self) -> None:
-        """Without requests a node has its part of the reserve."""
+        """Without requests a node gets its part of the reserve."""
         budget = budget_of(10)
         spent = sum(budget.spend(0) for _ in range(40))
         assert spent == 2
 
-    def test_counts_the_calls_of_repeated_runs(self) -> None:
-        """They are retries at the service that they call."""
+    def test_counts_nested_retries(self) -> None:
+        """Calls of a run that is a retry are retries at the called service."""
         budget = budget_of(1)
         for _ in range(28):
             assert budget.may_spend(0)
             budget.count_nested_retry(0)
         assert not budget.may_spend(0)
 
-    def test_goes_on_while_requests_become_few(self) -> None:
-        """What the last window had requests for is spent in this one."""
+    def test_allows_retries_when_requests_become_few(self) -> None:
+        """The requests of the last window allow retries in this one."""
         budget = budget_of(1)
         for at in range(1000):
             budget.requested(at / 100)
@@ -88,7 +88,7 @@
         assert spent > 0.6 * 0.2 * 1000 * 0.7
 
     def test_keeps_pace(self) -> None:
-        """No second spends much more than its part of the window's."""
+        """No second spends much more than its part of the window's budget."""
         budget = budget_of(1)
         for at in range(1000):
             budget.requested(at / 100)
@@ -98,15 +98,15 @@
         assert spent <= 1.25 * 0.7 * (20 + 4)
         assert budget.may_spend(9.99, 50)
 
-    def test_tells_the_retries_of_a_second(self) -> None:
-        """A fifth of the requests and the reserve, less the margin."""
+    def test_returns_the_retries_per_second(self) -> None:
+        """A fifth of the requests, plus the reserve, less the margin."""
         budget = budget_of(1)
         for at in range(1000):
             budget.requested(at / 100)
         assert budget.per_second(9.99) == pytest.approx(0.7 * (20 + 4))
 
-    def test_forgets_what_left_the_window(self) -> None:
-        """A window later the reserve is there again."""
+    def test_old_retries_leave_the_window(self) -> None:
+        """A window later the reserve is available again."""
         budget = budget_of(10)
         while budget.spend(0):
             pass
@@ -115,10 +115,10 @@
 
 
 class TestFleetRetryBudgets:
-    """A node's parts at every service."""
+    """One node's parts of the budgets, by service."""
 
     def test_keep_services_apart(self) -> None:
-        """What is spent at one service is left at the other."""
+        """Retries spent at one service do not reduce those of another."""
         budgets = FleetRetryBudgets(SETTINGS)
         while budgets.of('a').spend(0):
             pass
@@ -126,7 +126,7 @@
         assert budgets.of('b').may_spend(0)
 
     def test_divide_every_reserve(self) -> None:
-        """A fleet that grows takes from each service's reserve here."""
+        """A larger fleet reduces this node's part of every reserve."""
         budgets = FleetRetryBudgets(SETTINGS)
         budgets.of('a')
         budgets.node_count = 10
--- a/tests/retries/test_pool.py
+++ b/tests/retries/test_pool.py
@@ -1,13 +1,13 @@
-"""One hop's share of the allowance."""
+"""One hop's share of the retry allowance."""
 
 from lovageshunt.retries import AllowancePool
 
 
 class TestAllowancePool:
-    """What is handed down, given back and spent."""
+    """Retries that are passed to calls, returned and spent."""
 
     def test_parallel_shares_are_divided(self):
-        """The shares and what stays sum to the pool."""
+        """The shares and the rest add up to the pool; leaves get none."""
         pool = AllowancePool(5)
 
         shares = pool.shares(3, leaves=[1])
@@ -16,14 +16,14 @@
         assert pool.unspent == 0
 
     def test_lost_share_is_spent(self):
-        """What no answer gives back cannot be spent again."""
+        """A share that no answer returns cannot be spent again."""
         pool = AllowancePool(2)
         pool.share()
 
         assert not pool.spend_retry()
 
     def test_answer_gives_back_no_more_than_its_share(self):
-        """An answer that claims too much does not revive lost shares."""
+        """An answer that claims too much does not restore lost shares."""
         pool = AllowancePool(3)
         shares = pool.shares(2)
 
@@ -31,8 +31,8 @@
 
         assert pool.unspent == 1
 
-    def test_call_that_calls_nobody_takes_nothing(self):
-        """The hop above keeps its retries, also when the answer is lost."""
+    def test_call_to_a_leaf_service_gets_no_share(self):
+        """The calling hop keeps its retries even if the answer is lost."""
         pool = AllowancePool(1)
 
         assert pool.share(calls_below=False) == 0
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -1,4 +1,4 @@
-"""A call that crashes targets is kept from crashing more of them."""
+"""Stopping a call that crashes targets from crashing more of them."""
 
 import pytest
 from hypothesis import settings
@@ -40,14 +40,14 @@
 
 
 class TestQuarantine:
-    """What one node does."""
+    """The quarantine of one node."""
 
     def test_unknown_call_proceeds(self, node):
-        """There is no ground for suspicion."""
+        """A call without an entry runs at once."""
         assert node.handle(_starting('x'), 0) == [Proceed(call_id='x')]
 
     def test_suspects_run_one_at_a_time(self, node):
-        """A second suspect is sent away while the first runs."""
+        """A second suspect is refused while the first runs."""
         node.handle(_starting('x', 'one'), 0)
         node.handle(_starting('y', 'two'), 0)
         node.handle(TargetCrashed(), 0)
@@ -57,8 +57,8 @@
 
         assert actions == [RefuseTemporarily(call_id='y', retry_after_ms=100)]
 
-    def test_suspect_that_finishes_well_is_cleared(self, node):
-        """It runs beside others again, also at peers."""
+    def test_suspect_that_finishes_is_cleared(self, node):
+        """Its entry is removed and peers are notified."""
         node.handle(_starting('x'), 0)
         node.handle(TargetCrashed(), 0)
         node.handle(_starting('x'), 1)
@@ -70,10 +70,10 @@
             suspicion=Suspicion.CLEARED,
         )
         assert actions == [NotifyPeers(reports=(cleared,))]
-        assert node.case_count == 0
+        assert node.entry_count == 0
 
     def test_second_crash_condemns(self, node):
-        """The next resend is answered at once, with when to come back."""
+        """The next resend fails at once, with a retry time."""
         for now in (0, 1):
             node.handle(_starting('x'), now)
             node.handle(TargetCrashed(), now)
@@ -83,7 +83,7 @@
         assert actions == [FailCondemned(call_id='x', retry_after_ms=599_000)]
 
     def test_call_that_must_run_once_is_condemned_at_once(self, node):
-        """It must not run again after any crash."""
+        """A call that must not be repeated is condemned by its first crash."""
         node.handle(_starting('x', is_repeatable=False), 0)
         node.handle(TargetCrashed(), 0)
 
@@ -92,19 +92,19 @@
         assert isinstance(actions[0], FailCondemned)
 
     def test_context_carries_suspicion_between_callers(self, node):
-        """A node that heard no report believes the call's own context."""
+        """A node without a report relies on the context of the call."""
         actions = node.handle(_starting('x', suspicion=2), 0)
 
         assert isinstance(actions[0], FailCondemned)
 
     def test_condemnation_expires(self, node):
-        """The fault may be mended meanwhile."""
+        """The fault may have been fixed in the meantime."""
         node.handle(_starting('x', suspicion=2), 0)
 
         assert node.handle(_starting('x'), 601) == [Proceed(call_id='x')]
 
     def test_table_is_bounded(self, node):
-        """The oldest case makes room."""
+        """Beyond the maximum the oldest entry is dropped."""
         reports = tuple(
             SuspectReport(fingerprint=str(at), suspicion=Suspicion.SUSPECTED)
             for at in range(9)
@@ -112,78 +112,77 @@
 
         node.handle(PeerReported(reports=reports), 0)
 
-        assert node.case_count == 3
+        assert node.entry_count == 3
 
 
 class PoisonMachine(RuleBasedStateMachine):
-    """Three targets, one request that crashes them, and innocent ones."""
+    """Three targets, one request that crashes them, and harmless ones."""
 
     def __init__(self):
-        """Start the nodes with nothing in flight."""
         super().__init__()
-        made = QuarantineSettings()
-        self.nodes = [Quarantine(made) for _ in range(_NODES)]
+        limits = QuarantineSettings()
+        self.nodes = [Quarantine(limits) for _ in range(_NODES)]
         self.flights = [{} for _ in range(_NODES)]
         self.now = 0
         self.crashes = 0
-        self.wronged = 0
+        self.wrongly_condemned = 0
 
-    @rule(at=_INDEX, innocent=st.integers(0, 4))
-    def start(self, at, innocent):
-        """An innocent call arrives."""
-        self._start(at, str(innocent))
+    @rule(at=_INDEX, harmless=st.integers(0, 4))
+    def start(self, at, harmless):
+        """A harmless call arrives."""
+        self._start(at, str(harmless))
 
     @rule(at=_INDEX)
     def start_poison(self, at):
-        """The request comes again, unless an attempt of it still runs."""
+        """The crashing request is resent, unless an attempt still runs."""
         if not any(_POISON in flight for flight in self.flights):
             self._start(at, _POISON)
 
     @rule(at=_INDEX)
     def end(self, at):
-        """An innocent call finishes well."""
+        """A harmless call finishes."""
         for name in self.flights[at]:
             if name != _POISON:
                 self.flights[at].pop(name)
-                self._tell(at, CallEnded(call_id=name, is_complete=True))
+                self._handle(at, CallEnded(call_id=name, is_complete=True))
                 return
 
     @rule()
     def crash(self):
-        """The request takes its target down."""
+        """The request crashes its target."""
         for at, flight in enumerate(self.flights):
             if _POISON in flight:
                 self.crashes += 1
                 flight.clear()
-                self._tell(at, TargetCrashed())
+                self._handle(at, TargetCrashed())
 
     @invariant()
     def few_targets_are_lost(self):
-        """Two crashes at most, and no innocent call is condemned."""
+        """At most two crashes, and no harmless call is condemned."""
         assert self.crashes <= 2
-        assert not self.wronged
+        assert not self.wrongly_condemned
 
     def _start(self, at, name):
         if name in self.flights[at]:
             return
-        for action in self._tell(at, _starting(name, name)):
+        for action in self._handle(at, _starting(name, name)):
             if isinstance(action, Proceed):
                 self.flights[at][name] = None
             if isinstance(action, FailCondemned) and name != _POISON:
-                self.wronged += 1
+                self.wrongly_condemned += 1
 
-    def _tell(self, at, event):
+    def _handle(self, at, event):
         self.now += 0.01
         actions = self.nodes[at].handle(event, self.now)
         for action in actions:
             if isinstance(action, NotifyPeers):
-                self._spread(at, PeerReported(reports=action.reports))
+                self._report_to_peers(at, PeerReported(reports=action.reports))
         return actions
 
-    def _spread(self, at, heard):
+    def _report_to_peers(self, at, reported):
         for peer, node in enumerate(self.nodes):
             if peer != at:
-                node.handle(heard, self.now)
+                node.handle(reported, self.now)
 
 
 TestPoisonMachine = PoisonMachine.TestCase
@@ -194,21 +193,21 @@
 
 
 class _CondemnsAllInFlight(Quarantine):
-    def _blame(self, call):
+    def _suspicion_after_crash(self, call):
         return Suspicion.CONDEMNED
 
 
 class _ForgetsSuspects(Quarantine):
-    def _learn(self, report, now):
-        """Keep nothing."""
+    def _apply_report(self, report, now):
+        """Ignore the report."""
 
 
 class TestNaiveQuarantine:
-    """The machine finds out a quarantine that does too much or too little."""
+    """The state machine detects a quarantine that is too strict or too lax."""
 
     @pytest.mark.parametrize('naive', [_CondemnsAllInFlight, _ForgetsSuspects])
-    def test_is_found_out(self, naive):
-        """One scene breaks the invariant."""
+    def test_is_detected(self, naive):
+        """A fixed sequence of events violates the invariant."""
         machine = PoisonMachine()
         machine.nodes = [naive(QuarantineSettings()) for _ in range(_NODES)]
         for at in range(_NODES):
--- a/tests/retries/test_verdict.py
+++ b/tests/retries/test_verdict.py
@@ -1,4 +1,4 @@
-"""Whether the hop that saw a failure retries it."""
+"""Deciding whether the hop that saw a failure retries it."""
 
 from random import Random
 
@@ -15,7 +15,7 @@
 )
 
 
-def _verdict(failure, *, is_repeatable=True, left=1, deadline=10, floor=1):
+def _decision(failure, *, is_repeatable=True, left=1, deadline=10, floor=1):
     return decide_retry(
         failure,
         now=0,
@@ -39,88 +39,88 @@
     )
 
 
-class TestMayRetry:
-    """One hop retries a failure, within every budget."""
+class TestDecideRetry:
+    """One hop retries a failure, within every limit."""
 
     @pytest.mark.parametrize('is_repeatable', [True, False])
     def test_leaving_target_moves_the_call_at_once(self, is_repeatable):
         """Nothing ran, so any call goes to another target without delay."""
-        verdict = _verdict(_leaving(), is_repeatable=is_repeatable)
+        decision = _decision(_leaving(), is_repeatable=is_repeatable)
 
-        assert verdict.place is RetryPlace.OTHER
-        assert verdict.delay_seconds == 0
+        assert decision.place is RetryPlace.OTHER
+        assert decision.delay_seconds == 0
 
-    def test_overload_travels_up(self):
-        """A threshold holds at every target, so another try is no help."""
+    def test_overload_is_passed_upstream(self):
+        """The threshold holds at every target, so a retry would not help."""
         overload = AttemptFailure(
             outcome=Outcome.NOT_RUN,
             reason=RefusalReason.OVERLOAD,
         )
 
-        assert not _verdict(overload).is_retry
+        assert not _decision(overload).is_retry
 
     def test_full_queue_is_tried_elsewhere_once(self):
-        """One more target may have room; two full queues are overload."""
+        """Another target may have capacity; two full queues are overload."""
         full = AttemptFailure(
             outcome=Outcome.NOT_RUN, reason=RefusalReason.QUEUE_FULL
         )
-        assert _verdict(full).is_retry
+        assert _decision(full).is_retry
 
         full.tries = 2
 
-        assert not _verdict(full).is_retry
+        assert not _decision(full).is_retry
 
-    def test_refusal_of_a_target_with_room_is_tried_again(self):
-        """Its next answer may be another; six in a row are enough."""
+    def test_refusal_of_a_target_with_free_slots_is_retried(self):
+        """The next try may be accepted; after six the hop stops."""
         shed = AttemptFailure(
             outcome=Outcome.NOT_RUN, reason=RefusalReason.SHED
         )
         for tries in range(1, 6):
             shed.tries = tries
-            assert _verdict(shed, is_repeatable=False).is_retry
+            assert _decision(shed, is_repeatable=False).is_retry
         shed.tries = 6
-        assert not _verdict(shed).is_retry
+        assert not _decision(shed).is_retry
 
-    def test_failure_of_a_deeper_hop_travels_up(self):
-        """The hop nearest to the failure has retried it already."""
+    def test_failure_of_a_deeper_hop_is_passed_upstream(self):
+        """The hop nearest to the failure has already retried it."""
         failed = AttemptFailure(
             outcome=Outcome.FAILED,
             reason=RefusalReason.TARGET_FAILED,
             was_retried_below=True,
         )
 
-        assert not _verdict(failed).is_retry
+        assert not _decision(failed).is_retry
 
     def test_lost_answer_of_a_call_that_must_run_once_goes_home(self):
-        """Its node reads the outcome and does not run it again."""
-        verdict = _verdict(_lost(), is_repeatable=False)
+        """Its home node looks up the outcome and does not run it again."""
+        decision = _decision(_lost(), is_repeatable=False)
 
-        assert verdict.place is RetryPlace.HOME
+        assert decision.place is RetryPlace.HOME
 
     def test_failed_call_that_must_run_once_is_not_retried(self):
-        """Some of it ran."""
+        """Part of it ran, so a retry could run it twice."""
         failed = AttemptFailure(
             outcome=Outcome.FAILED,
             reason=RefusalReason.TARGET_FAILED,
         )
 
-        assert not _verdict(failed, is_repeatable=False).is_retry
+        assert not _decision(failed, is_repeatable=False).is_retry
 
     @pytest.mark.parametrize(
         'limits',
         [{'left': 0}, {'floor': 0}, {'deadline': 0.9}],
     )
     def test_every_limit_holds(self, limits):
-        """No share, no local budget or no time left ends the retries."""
-        assert _verdict(_lost()).is_retry
-        assert not _verdict(_lost(), **limits).is_retry
+        """An empty pool, an empty budget or a near deadline stops retries."""
+        assert _decision(_lost()).is_retry
+        assert not _decision(_lost(), **limits).is_retry
 
 
 class TestRetryBudget:
     """Retries earned by successes."""
 
     def test_successes_earn_a_fraction(self):
-        """Ten successes earn a retry at a tenth."""
+        """At a tenth of a retry each, about ten successes earn one."""
         budget = RetryBudget(RetryBudgetSettings(floor=0), 0)
         for _ in range(11):
             budget.succeeded(0)
@@ -128,8 +128,8 @@
         assert budget.spend(0)
         assert not budget.spend(0)
 
-    def test_old_successes_fade(self):
-        """What was earned long ago is no ground for a retry now."""
+    def test_old_successes_decay(self):
+        """Tokens earned long ago no longer allow a retry."""
         budget = RetryBudget(RetryBudgetSettings(floor=0), 0)
         for _ in range(20):
             budget.succeeded(0)
