--- a/src/lovageshunt/pressure/_root_admission.py
+++ b/src/lovageshunt/pressure/_root_admission.py
@@ -116,7 +116,7 @@
     def __init__(
         self,
         *,
-        needs: DemandModel,
+        demand_model: DemandModel,
         arrivals: FleetRates,
         retries: FleetRates,
         callers: InternalCallDetector,
@@ -124,13 +124,13 @@
     ) -> None:
         """Set the sources of the decisions.
 
-        ``needs`` models the demand of a request, ``arrivals`` are the fleet's
-        requests a second by kind, ``retries`` the retries a second that its
-        nodes may send by service. ``callers`` tells which kinds only targets
-        send.
+        ``demand_model`` gives the demand of one request by service,
+        ``arrivals`` the fleet's requests a second by kind, ``retries`` the
+        retries a second that its nodes may send by service. ``callers``
+        reports which kinds only targets send.
         """
         self.fleet_capacity = FleetCapacity()
-        self._demand_model = needs
+        self._demand_model = demand_model
         self._internal_calls = callers
         self._arrivals = arrivals
         self._retries = retries
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -92,7 +92,7 @@
         self.callers = InternalCallDetector()
         #: Decides at the first hop by what was told.
         self.gate = RootAdmission(
-            needs=self._needs,
+            demand_model=self._needs,
             arrivals=self._arrivals,
             retries=self._retries,
             callers=self.callers,
--- a/tests/pressure/test_root_gate.py
+++ b/tests/pressure/test_root_gate.py
@@ -37,7 +37,7 @@
         self.retries_per_second = float(0)
         self.callers = InternalCallDetector()
         self.admission = RootAdmission(
-            needs=demand_of_the_load(),
+            demand_model=demand_of_the_load(),
             arrivals=self.arrivals,
             retries=self.retries,
             callers=self.callers,
