--- a/src/lovageshunt/pressure/_root_admission.py
+++ b/src/lovageshunt/pressure/_root_admission.py
@@ -119,19 +119,19 @@
         demand_model: DemandModel,
         arrivals: FleetRates,
         retries: FleetRates,
-        callers: InternalCallDetector,
+        internal_calls: InternalCallDetector,
         rng: Random,
     ) -> None:
         """Set the sources of the decisions.
 
         ``demand_model`` gives the demand of one request by service,
         ``arrivals`` the fleet's requests a second by kind, ``retries`` the
-        retries a second that its nodes may send by service. ``callers``
+        retries a second that its nodes may send by service. ``internal_calls``
         reports which kinds only targets send.
         """
         self.fleet_capacity = FleetCapacity()
         self._demand_model = demand_model
-        self._internal_calls = callers
+        self._internal_calls = internal_calls
         self._arrivals = arrivals
         self._retries = retries
         self._rng = rng
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -49,7 +49,7 @@
 
     __slots__ = (
         'gate',
-        'callers',
+        'internal_calls',
         '_arrived_by_kind',
         '_reports_told',
         '_arrivals',
@@ -89,13 +89,13 @@
         self._retries = FleetRates()
         self._budgets = budgets
         #: Tells the calls of targets from the requests of clients.
-        self.callers = InternalCallDetector()
+        self.internal_calls = InternalCallDetector()
         #: Decides at the first hop by what was told.
         self.gate = RootAdmission(
             demand_model=self._needs,
             arrivals=self._arrivals,
             retries=self._retries,
-            callers=self.callers,
+            internal_calls=self.internal_calls,
             rng=rng,
         )
         self._arrived_by_kind: dict[str, int] = {}
@@ -125,7 +125,7 @@
 
     def take_needs(self, news: NeedsNews) -> None:
         """Take what runs at a target need, and who sends which kinds."""
-        self.callers.learn(news.service, news.node, news.arrived_by_kind)
+        self.internal_calls.learn(news.service, news.node, news.arrived_by_kind)
         now = clock_now()
         self._arrivals.learn(
             news.node,
@@ -146,7 +146,7 @@
     def arrived(self, kind: str, now: float) -> bool:
         """Count a request from this VM; tell whether a target sent it."""
         self._arrived_by_kind[kind] = self._arrived_by_kind.get(kind, 0) + 1
-        is_internal = self.callers.is_internal(kind)
+        is_internal = self.internal_calls.is_internal(kind)
         if is_internal:
             self._executor.watch.called(kind, now)
         return is_internal
--- a/tests/pressure/test_root_gate.py
+++ b/tests/pressure/test_root_gate.py
@@ -35,12 +35,12 @@
         self.retries = FleetRates()
         self.accepted = float(1)
         self.retries_per_second = float(0)
-        self.callers = InternalCallDetector()
+        self.internal_calls = InternalCallDetector()
         self.admission = RootAdmission(
             demand_model=demand_of_the_load(),
             arrivals=self.arrivals,
             retries=self.retries,
-            callers=self.callers,
+            internal_calls=self.internal_calls,
             rng=Random(3),
         )
 
@@ -130,8 +130,8 @@
         fleet.admission.decision('sync', 1, 0)
         fleet.arrivals.learn('m', {'sync': 96_000}, 1, 0)
         for _ in range(3):
-            fleet.callers.learn('top', 'n', {'check': 99, 'sync': 960})
-            fleet.callers.learn('bottom', 'm', {'check': 99})
+            fleet.internal_calls.learn('top', 'n', {'check': 99, 'sync': 960})
+            fleet.internal_calls.learn('bottom', 'm', {'check': 99})
         fleet.report(0)
         decisions = [fleet.admission.decision('check', 2, 1) for _ in range(50)]
         assert all(each.retry_seconds is None for each in decisions)
