--- a/bench/_sender.py
+++ b/bench/_sender.py
@@ -12,11 +12,11 @@
 from lovageshunt.calls import AnswerInfo, Outcome, RefusalReason
 from lovageshunt.retries import (
     AllowancePool,
-    Failure,
+    AttemptFailure,
     RetryBudget,
     RetryBudgetSettings,
-    RetryVerdict,
-    may_retry,
+    RetryDecision,
+    decide_retry,
 )
 from lovageshunt.routing import RouteMember, Router
 
@@ -299,9 +299,9 @@
         self._parent.unspent = self._pool.unspent
         self._reply(info)
 
-    def _verdict(self, info: AnswerInfo, now: float) -> RetryVerdict:
-        return may_retry(
-            Failure(
+    def _verdict(self, info: AnswerInfo, now: float) -> RetryDecision:
+        return decide_retry(
+            AttemptFailure(
                 outcome=info.outcome,
                 reason=info.reason,
                 retry_after_ms=info.retry_after_ms,
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -32,12 +32,12 @@
 from lovageshunt.node.gate._messages import CallArrived, CallEnded
 from lovageshunt.retries import (
     AllowancePool,
-    Failure,
+    AttemptFailure,
     Quarantine,
     QuarantineSettings,
     RetryBudget,
     RetryBudgetSettings,
-    may_retry,
+    decide_retry,
 )
 from lovageshunt.routing import RouteMember, Router
 
@@ -160,8 +160,8 @@
         now = number / 1000
         thresholds.verdict('records', 200_000, now)
         budget.succeeded(now)
-        may_retry(
-            Failure(
+        decide_retry(
+            AttemptFailure(
                 outcome=Outcome.FAILED,
                 reason=RefusalReason.CONNECTION_LOST,
             ),
--- a/src/lovageshunt/client/_attempts.py
+++ b/src/lovageshunt/client/_attempts.py
@@ -14,10 +14,10 @@
 from lovageshunt.idempotency import next_attempt_number
 from lovageshunt.retries import (
     AllowancePool,
-    CallTally,
-    Failure,
+    AttemptFailure,
+    OutcomeTracker,
     RetryPlace,
-    may_retry,
+    decide_retry,
 )
 from lovageshunt.routing import RouteMember
 from lovageshunt.rules import KindRule
@@ -57,7 +57,7 @@
         self._first_age_ms = context.age_ms
         self._first_attempt = context.attempt
         self._link: ServiceLink = engine.link(call.service, self._started_at)
-        self._tally = CallTally()
+        self._tally = OutcomeTracker()
         self._tried: set[str] = set()
         self._tries = 0
         self._has_home_word = False
@@ -266,8 +266,8 @@
             outcome = self._tally.outcome
         self._context.suspicion = max(self._context.suspicion, said.suspicion)
         at = now()
-        verdict = may_retry(
-            Failure(
+        verdict = decide_retry(
+            AttemptFailure(
                 outcome=outcome,
                 reason=said.reason,
                 retry_after_ms=said.retry_after_ms,
--- a/src/lovageshunt/node/gate/_actions.py
+++ b/src/lovageshunt/node/gate/_actions.py
@@ -23,9 +23,9 @@
 from lovageshunt.retries import CallEnded as FlightEnded
 from lovageshunt.retries import (
     CallStarting,
-    Condemn,
+    FailCondemned,
     Proceed,
-    RefuseForNow,
+    RefuseTemporarily,
 )
 
 
@@ -139,7 +139,7 @@
 
 @act.register
 def _refuse_for_now(
-    action: RefuseForNow,
+    action: RefuseTemporarily,
     state: GateState,
     now: float,
     out: list[Record],
@@ -155,14 +155,14 @@
 
 @act.register
 def _condemn(
-    action: Condemn,
+    action: FailCondemned,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
     arrival = state.by_ticket[action.call_id]
     if not arrival.event.is_repeatable:
-        busy = RefuseForNow(
+        busy = RefuseTemporarily(
             call_id=action.call_id,
             retry_after_ms=action.retry_after_ms,
         )
--- a/src/lovageshunt/pressure/__init__.py
+++ b/src/lovageshunt/pressure/__init__.py
@@ -1,35 +1,43 @@
-"""How much of their demand the services of a call graph have room for.
+"""Admission control at the first hop, by the capacity of services downstream.
 
-The calls that targets make tell nothing of the request above them. So nodes
-learn which kinds of requests lead to which calls, targets tell how much of
-what is asked of them they have room for, and the first hop refuses the
-requests whose work would be lost further down.
+The calls that targets make carry no reference to the request that caused
+them. So nodes estimate which kinds of requests lead to which calls, and report
+the share of its demand that each target has capacity for. The first hop then
+refuses the requests that would fail further down, after work was spent on
+them.
 """
 
 from lovageshunt.pressure._call_graph import CallCounts, CallGraph
-from lovageshunt.pressure._call_watch import CallWatch
-from lovageshunt.pressure._callers import CallerBook
-from lovageshunt.pressure._demand import DemandMeter, DemandSettings
-from lovageshunt.pressure._needs import KindNeeds, NeedsBook
+from lovageshunt.pressure._call_sampler import CallSampler
+from lovageshunt.pressure._demand_model import DemandModel, KindDemand
+from lovageshunt.pressure._fleet_capacity import FleetCapacity, TargetCapacity
+from lovageshunt.pressure._internal_calls import InternalCallDetector
 from lovageshunt.pressure._rates import FleetRates
 from lovageshunt.pressure._refusals import RefusalMeter
-from lovageshunt.pressure._root_gate import RootGate, RootVerdict, Shortage
-from lovageshunt.pressure._target_room import TargetRoom, TargetRooms
+from lovageshunt.pressure._root_admission import (
+    RootAdmission,
+    RootDecision,
+    Shortage,
+)
+from lovageshunt.pressure._target_demand import (
+    DemandSettings,
+    TargetDemandMeter,
+)
 
 __all__ = [
     'CallCounts',
     'CallGraph',
-    'CallWatch',
-    'CallerBook',
-    'DemandMeter',
+    'CallSampler',
+    'DemandModel',
     'DemandSettings',
+    'FleetCapacity',
     'FleetRates',
-    'KindNeeds',
-    'NeedsBook',
+    'InternalCallDetector',
+    'KindDemand',
     'RefusalMeter',
-    'RootGate',
-    'RootVerdict',
+    'RootAdmission',
+    'RootDecision',
     'Shortage',
-    'TargetRoom',
-    'TargetRooms',
+    'TargetCapacity',
+    'TargetDemandMeter',
 ]
--- /dev/null
+++ b/src/lovageshunt/pressure/_root_admission.py
@@ -0,0 +1,261 @@
+"""Admission of root requests by the capacity of the services downstream.
+
+It protects against a load beyond the capacity of a service deep in the call
+graph. A request that would be refused there, after work was spent on it at
+every hop above, is refused at its first hop instead: the less important kinds
+first, and all kinds of one importance alike.
+
+It also covers a service whose targets refuse calls for which they have free
+slots. There the retry budget is the scarce resource, and it is reserved for
+the more important kinds.
+"""
+
+from collections.abc import Mapping
+from enum import StrEnum
+from random import Random
+from types import MappingProxyType
+from typing import Final
+
+from lovageshunt._record import Record
+from lovageshunt.pressure._demand_model import DemandModel
+from lovageshunt.pressure._fleet_capacity import FleetCapacity
+from lovageshunt.pressure._internal_calls import InternalCallDetector
+from lovageshunt.pressure._rates import FleetRates
+from lovageshunt.pressure._refusals import RetryDemand
+from lovageshunt.pressure._shares import shares_by_importance
+
+#: The interval between updates of the admitted shares, in seconds.
+_UPDATE_SECONDS: Final = 0.1
+#: A kind whose demand on a service is at most this fraction of the highest
+#: demand of any kind on it is not refused because of that service.
+_NEGLIGIBLE_FRACTION: Final = 0.1
+#: The lowest share of a kind that is admitted, so that there are calls to
+#: measure.
+_MIN_SHARE: Final = 0.02
+#: The mean retry time of a refusal, in seconds: the shares change by a
+#: twelfth several times a second.
+_RETRY_SECONDS: Final = 0.4
+
+
+class Shortage(StrEnum):
+    """The resource of a service that is scarce."""
+
+    SLOTS = 'slots'
+    RETRIES = 'retries'
+
+
+#: The fraction of a scarce resource that is divided among all kinds that use
+#: it, so that none is starved for long. It is small for retries: a request
+#: takes many of them, so a fraction like that for slots would serve hardly
+#: more requests.
+_FLOOR_FRACTION_BY_SHORTAGE: Final = MappingProxyType(
+    {Shortage.SLOTS: 0.35, Shortage.RETRIES: 0.1},
+)
+
+
+class RootDecision(Record):
+    """``retry_seconds`` is the time to retry after, ``None`` if admitted.
+
+    ``service`` is the overloaded one and ``shortage`` its scarce resource;
+    ``share`` is the share of the kind's requests that is admitted.
+    """
+
+    __slots__ = ('retry_seconds', 'service', 'shortage', 'share')
+
+    def __init__(
+        self,
+        *,
+        retry_seconds: float | None = None,
+        service: str = '',
+        shortage: Shortage | None = None,
+        share: float = 1,
+    ) -> None:
+        self.retry_seconds = retry_seconds
+        self.service = service
+        self.shortage = shortage
+        self.share = share
+
+
+class _Kind:
+    """The admitted share of one kind, and the scarce resource that limits it.
+
+    ``service`` is empty and ``shortage`` ``None`` while all are admitted.
+    """
+
+    __slots__ = ('importance', 'share', 'service', 'shortage')
+
+    def __init__(self, importance: int) -> None:
+        self.importance = importance
+        self.admit_all()
+
+    def admit_all(self) -> None:
+        """Reset the share to 1 and clear its limit."""
+        self.share = float(1)
+        self.service = ''
+        self.shortage: Shortage | None = None
+
+
+class RootAdmission:
+    """Admits or refuses each request of a client at its first hop.
+
+    ``fleet_capacity`` holds the reports of the targets; a service without any
+    limits nothing.
+    """
+
+    __slots__ = (
+        'fleet_capacity',
+        '_demand_model',
+        '_arrivals',
+        '_retries',
+        '_internal_calls',
+        '_rng',
+        '_by_kind',
+        '_updated_at',
+    )
+
+    def __init__(
+        self,
+        *,
+        demand_model: DemandModel,
+        arrivals: FleetRates,
+        retries: FleetRates,
+        internal_calls: InternalCallDetector,
+        rng: Random,
+    ) -> None:
+        """Set the sources of the decisions.
+
+        ``demand_model`` gives the demand of one request by service,
+        ``arrivals`` the fleet's requests a second by kind, ``retries`` the
+        retries a second that its nodes may send by service. ``internal_calls``
+        reports which kinds only targets send.
+        """
+        self.fleet_capacity = FleetCapacity()
+        self._demand_model = demand_model
+        self._internal_calls = internal_calls
+        self._arrivals = arrivals
+        self._retries = retries
+        self._rng = rng
+        self._by_kind: dict[str, _Kind] = {}
+        self._updated_at = float('-inf')
+
+    def decision(self, kind: str, importance: int, now: float) -> RootDecision:
+        """Admit a request, or refuse it with a time to retry after."""
+        known = self._by_kind.get(kind)
+        if known is None:
+            known = _Kind(importance)
+            self._by_kind[kind] = known
+        known.importance = importance
+        if now - self._updated_at >= _UPDATE_SECONDS:
+            self._update(now)
+        if known.share >= 1 or self._rng.random() < known.share:
+            return RootDecision(service=known.service, share=known.share)
+        jitter = self._rng.random() + 1 / 2
+        return RootDecision(
+            retry_seconds=_RETRY_SECONDS * jitter,
+            service=known.service,
+            shortage=known.shortage,
+            share=known.share,
+        )
+
+    def _update(self, now: float) -> None:
+        """Recompute the admitted share of each kind."""
+        self._updated_at = now
+        for known in self._by_kind.values():
+            known.admit_all()
+        rate_by_kind = self._arrivals.rate_by_key(now)
+        retries_by_service = self._retries.rate_by_key(now)
+        for service in self.fleet_capacity.services:
+            slots = self.fleet_capacity.slots_of(service, now)
+            if slots > 0:
+                demand = self._slot_demand(service, rate_by_kind)
+                self._limit_shares(service, Shortage.SLOTS, slots, demand)
+            accepted = self.fleet_capacity.accepted_of(service, now)
+            if accepted < 1:
+                retries = retries_by_service.get(service, 0)
+                demand = self._retry_demand(service, accepted, rate_by_kind)
+                self._limit_shares(service, Shortage.RETRIES, retries, demand)
+
+    def _limit_shares(
+        self,
+        service: str,
+        shortage: Shortage,
+        capacity: float,
+        demand_by_kind: Mapping[str, float],
+    ) -> None:
+        """Lower the shares of kinds whose total demand exceeds a capacity."""
+        if sum(demand_by_kind.values()) <= capacity:
+            return
+        shares = shares_by_importance(
+            self._by_importance(demand_by_kind),
+            capacity,
+            _FLOOR_FRACTION_BY_SHORTAGE[shortage],
+        )
+        for kind in demand_by_kind:
+            known = self._by_kind[kind]
+            share = max(_MIN_SHARE, shares[known.importance])
+            if share < known.share:
+                known.share = share
+                known.service = service
+                known.shortage = shortage
+
+    def _by_importance(
+        self,
+        demand_by_kind: Mapping[str, float],
+    ) -> dict[int, float]:
+        """Sum the demand over the kinds of each importance."""
+        demand_by_importance: dict[int, float] = {}
+        for kind, demand in demand_by_kind.items():
+            importance = self._by_kind[kind].importance
+            before = demand_by_importance.get(importance, 0)
+            demand_by_importance[importance] = before + demand
+        return demand_by_importance
+
+    def _slot_demand(
+        self,
+        service: str,
+        rate_by_kind: Mapping[str, float],
+    ) -> dict[str, float]:
+        """Return the slots that the fleet's requests of each kind would use.
+
+        Kinds with a negligible demand on the service are left out, and so are
+        internal kinds: the demand of the kinds that call them includes them.
+        """
+        work_by_kind = {
+            kind: self._demand_model.work_of(kind).get(service, 0)
+            for kind in self._root_kinds()
+        }
+        highest = max(work_by_kind.values(), default=0)
+        return {
+            kind: work * rate_by_kind[kind]
+            for kind, work in work_by_kind.items()
+            if work > highest * _NEGLIGIBLE_FRACTION
+            and rate_by_kind.get(kind, 0) > 0
+        }
+
+    def _retry_demand(
+        self,
+        service: str,
+        accepted: float,
+        rate_by_kind: Mapping[str, float],
+    ) -> dict[str, float]:
+        """Return the retries a second that the fleet's requests would need.
+
+        Kinds that have a fair chance without retries are left out: a shortage
+        of retries does not limit them.
+        """
+        retries_by_kind: dict[str, float] = {}
+        for kind in self._root_kinds():
+            calls = self._demand_model.runs_of(kind).get(service, 0)
+            demand = RetryDemand(calls=calls, accepted=accepted)
+            rate = rate_by_kind.get(kind, 0)
+            if demand.depends_on_retries and rate > 0:
+                retries_by_kind[kind] = demand.retries * rate
+        return retries_by_kind
+
+    def _root_kinds(self) -> list[str]:
+        """Return the kinds that clients send."""
+        return [
+            kind
+            for kind in self._by_kind
+            if not self._internal_calls.is_internal(kind)
+        ]
--- a/src/lovageshunt/retries/__init__.py
+++ b/src/lovageshunt/retries/__init__.py
@@ -1,63 +1,63 @@
-"""The allowance of a root request, local budgets and crash quarantine."""
+"""Retry allowance of a root request, retry budgets and crash quarantine."""
 
 from lovageshunt.retries._allowance import AllowanceShare, allowance_for
 from lovageshunt.retries._budget import RetryBudget, RetryBudgetSettings
+from lovageshunt.retries._decision import (
+    AttemptFailure,
+    RetryDecision,
+    RetryPlace,
+    decide_retry,
+)
 from lovageshunt.retries._fleet_budget import (
     FleetBudgetSettings,
     FleetRetryBudget,
     FleetRetryBudgets,
 )
+from lovageshunt.retries._outcome_tracker import OutcomeTracker, merge_outcomes
 from lovageshunt.retries._pool import AllowancePool
 from lovageshunt.retries._quarantine import Quarantine, QuarantineSettings
 from lovageshunt.retries._quarantine_messages import (
     CallEnded,
     CallStarting,
-    Condemn,
+    FailCondemned,
+    NotifyPeers,
     PeerReported,
     Proceed,
     QuarantineAction,
     QuarantineEvent,
-    RefuseForNow,
+    RefuseTemporarily,
     SuspectReport,
     Suspicion,
     TargetCrashed,
-    TellPeers,
-)
-from lovageshunt.retries._tally import CallTally, merge_calls
-from lovageshunt.retries._verdict import (
-    Failure,
-    RetryPlace,
-    RetryVerdict,
-    may_retry,
 )
 
 __all__ = [
     'AllowancePool',
     'AllowanceShare',
+    'AttemptFailure',
     'CallEnded',
     'CallStarting',
-    'CallTally',
-    'Condemn',
-    'Failure',
+    'FailCondemned',
     'FleetBudgetSettings',
     'FleetRetryBudget',
     'FleetRetryBudgets',
+    'NotifyPeers',
+    'OutcomeTracker',
     'PeerReported',
     'Proceed',
     'Quarantine',
     'QuarantineAction',
     'QuarantineEvent',
     'QuarantineSettings',
-    'RefuseForNow',
+    'RefuseTemporarily',
     'RetryBudget',
     'RetryBudgetSettings',
+    'RetryDecision',
     'RetryPlace',
-    'RetryVerdict',
     'SuspectReport',
     'Suspicion',
     'TargetCrashed',
-    'TellPeers',
     'allowance_for',
-    'may_retry',
-    'merge_calls',
+    'decide_retry',
+    'merge_outcomes',
 ]
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -30,10 +30,10 @@
 )
 from lovageshunt.links import RunAnswer, RunOrder
 from lovageshunt.pressure import (
-    CallWatch,
-    DemandMeter,
+    CallSampler,
     DemandSettings,
     RefusalMeter,
+    TargetDemandMeter,
 )
 from lovageshunt.retries import FleetRetryBudget
 from lovageshunt.sidecar._classification import (
@@ -84,8 +84,8 @@
         self._metrics = metrics
         self.pool = ConnectionPool(host, port, _INITIAL_MAX_CONNECTIONS)
         self._queue = TargetQueue(slots=slots)
-        self.demand = DemandMeter(DemandSettings(), clock_now())
-        self.watch = CallWatch(clock_now())
+        self.demand = TargetDemandMeter(DemandSettings(), clock_now())
+        self.watch = CallSampler(clock_now())
         self.refusals = RefusalMeter(clock_now())
         self._run_by_call_id: dict[str, Run] = {}
         self._published = ('', 0)
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -11,10 +11,10 @@
 from lovageshunt.links import RunAnswer, RunOrder
 from lovageshunt.retries import (
     AllowancePool,
-    Failure,
+    AttemptFailure,
     FleetRetryBudgets,
     RetryPlace,
-    may_retry,
+    decide_retry,
 )
 from lovageshunt.routes import (
     Configuration,
@@ -124,10 +124,10 @@
             )
             self._end(call)
             return call
-        call.is_inner = self._reports.record_arrival(
+        call.is_internal = self._reports.record_arrival(
             route.name, call.started_at
         )
-        if not call.is_inner and not self._admit(call, route):
+        if not call.is_internal and not self._admit(call, route):
             return call
         self._count(call)
         delay = call.deadline - call.started_at + _TIMEOUT_DELAY_SECONDS
@@ -160,15 +160,15 @@
 
         Return whether the request was admitted.
         """
-        verdict = self._reports.gate.verdict(
+        decision = self._reports.gate.decision(
             route.name,
             route.importance,
             call.started_at,
         )
-        if verdict.retry_seconds is None:
+        if decision.retry_seconds is None:
             return True
-        retry_ms = round(verdict.retry_seconds * _MS_PER_SECOND)
-        self._responder.send_not_run(call, 'overload', retry_ms, verdict)
+        retry_ms = round(decision.retry_seconds * _MS_PER_SECOND)
+        self._responder.send_not_run(call, 'overload', retry_ms, decision)
         self._end(call)
         return False
 
@@ -180,10 +180,10 @@
         of repeats among the runs in progress.
         """
         budget = self._budgets.of(call.service)
-        share = self._executor.repeat_share if call.is_inner else 0
+        share = self._executor.repeat_share if call.is_internal else 0
         call.is_repeat = self._rng.random() < share
         if call.is_repeat:
-            budget.repeated_above(call.started_at)
+            budget.count_nested_retry(call.started_at)
         else:
             budget.requested(call.started_at)
 
@@ -218,7 +218,7 @@
             target_id=entry.target_id,
             kind=route.name,
             caller_service=self._own_service,
-            importance=0 if call.is_inner else 1 + route.importance,
+            importance=0 if call.is_internal else 1 + route.importance,
             is_repeatable=route.is_repeatable,
             is_repeat=call.is_repeat or call.has_run,
             deadline=call.deadline,
@@ -290,8 +290,8 @@
         is_shed = answer.reason is RefusalReason.SHED
         if other is None or is_shed and not budget.keeps_pace(clock_now()):
             return False
-        verdict = may_retry(
-            Failure(
+        decision = decide_retry(
+            AttemptFailure(
                 outcome=answer.outcome,
                 reason=answer.reason,
                 tries=call.tries,
@@ -304,7 +304,7 @@
             typical_seconds=_MIN_RETRY_SECONDS,
             random=self._rng,
         )
-        if verdict.place is not RetryPlace.OTHER:
+        if decision.place is not RetryPlace.OTHER:
             return False
         self._responder.note_retry(call, answer)
         self._start_attempt(call, route, other)
--- a/src/lovageshunt/sidecar/_origin_call.py
+++ b/src/lovageshunt/sidecar/_origin_call.py
@@ -38,8 +38,8 @@
     ``overdue`` the timer that ends the request after its deadline.
 
     ``has_run`` means that an attempt may have run, so that the request must
-    not be reported as not run. ``is_inner`` means that the target beside this
-    node sent it, ``is_repeat`` that it did so in a run that counts as a
+    not be reported as not run. ``is_internal`` means that the target beside
+    this node sent it, ``is_repeat`` that it did so in a run that counts as a
     repeat.
     """
 
@@ -59,7 +59,7 @@
         'attempt',
         'overdue',
         'has_run',
-        'is_inner',
+        'is_internal',
         'is_repeat',
         'is_over',
     )
@@ -85,7 +85,7 @@
         self.attempt: Attempt | None = None
         self.overdue: TimerHandle | None = None
         self.has_run = False
-        self.is_inner = False
+        self.is_internal = False
         self.is_repeat = False
         self.is_over = False
 
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -14,13 +14,13 @@
     encode_message,
 )
 from lovageshunt.pressure import (
-    CallerBook,
     CallGraph,
+    DemandModel,
     FleetRates,
-    KindNeeds,
-    NeedsBook,
-    RootGate,
-    TargetRoom,
+    InternalCallDetector,
+    KindDemand,
+    RootAdmission,
+    TargetCapacity,
 )
 from lovageshunt.retries import FleetRetryBudgets
 from lovageshunt.sidecar._executor import Executor
@@ -47,14 +47,14 @@
 class PressureReports:
     """Broadcasts this node's load and demand and records the other nodes'.
 
-    ``callers`` distinguishes calls by targets from requests of clients.
+    ``internal_calls`` distinguishes calls by targets from requests of clients.
     ``gate`` decides, from the reports, which requests are admitted at their
     first hop.
     """
 
     __slots__ = (
         'gate',
-        'callers',
+        'internal_calls',
         '_arrived_by_kind',
         '_reports_sent',
         '_arrivals',
@@ -88,16 +88,16 @@
         self._fleet_state = fleet_state
         self._broadcast = broadcast
         self._graph = CallGraph()
-        self._needs = NeedsBook()
+        self._needs = DemandModel()
         self._arrivals = FleetRates()
         self._retries = FleetRates()
         self._budgets = budgets
-        self.callers = CallerBook()
-        self.gate = RootGate(
-            needs=self._needs,
+        self.internal_calls = InternalCallDetector()
+        self.gate = RootAdmission(
+            demand_model=self._needs,
             arrivals=self._arrivals,
             retries=self._retries,
-            callers=self.callers,
+            internal_calls=self.internal_calls,
             rng=rng,
         )
         self._arrived_by_kind: dict[str, int] = {}
@@ -113,10 +113,10 @@
         entry = self._fleet.record_load(report)
         if entry is None:
             return
-        self.gate.rooms.heard(
+        self.gate.fleet_capacity.heard(
             entry.service,
             entry.target_id,
-            TargetRoom(
+            TargetCapacity(
                 share=report.share,
                 slots=report.load.limit,
                 sent_per_second=report.sent_per_second,
@@ -127,7 +127,7 @@
 
     def handle_demand(self, report: NeedsNews) -> None:
         """Record a node's arrivals and retries, and what its runs cost."""
-        self.callers.learn(
+        self.internal_calls.learn(
             report.service,
             report.node,
             report.arrived_by_kind,
@@ -141,7 +141,7 @@
         )
         self._retries.learn(report.node, report.retries_by_service, 1, now)
         for kind, seconds in report.seconds_by_kind.items():
-            kind_demand = KindNeeds(
+            kind_demand = KindDemand(
                 node=report.node,
                 service=report.service,
                 seconds=seconds,
@@ -152,10 +152,10 @@
     def record_arrival(self, kind: str, now: float) -> bool:
         """Count a request from this VM; return whether its target sent it."""
         self._arrived_by_kind[kind] = self._arrived_by_kind.get(kind, 0) + 1
-        is_inner = self.callers.is_inner(kind)
-        if is_inner:
+        is_internal = self.internal_calls.is_internal(kind)
+        if is_internal:
             self._executor.watch.called(kind, now)
-        return is_inner
+        return is_internal
 
     def advance(self) -> None:
         """Close elapsed windows and broadcast the reports that are due."""
--- a/src/lovageshunt/sidecar/_responder.py
+++ b/src/lovageshunt/sidecar/_responder.py
@@ -4,7 +4,7 @@
 
 from lovageshunt.calls import Outcome
 from lovageshunt.links import RunAnswer
-from lovageshunt.pressure import RootVerdict
+from lovageshunt.pressure import RootDecision
 from lovageshunt.sidecar._journal import DecisionLog
 from lovageshunt.sidecar._metrics import SidecarMetrics
 from lovageshunt.sidecar._origin_call import OriginCall
@@ -59,17 +59,17 @@
         call: OriginCall,
         reason: str,
         retry_ms: int,
-        verdict: RootVerdict | None = None,
+        decision: RootDecision | None = None,
     ) -> None:
         """Respond 503: the request was not run and may be retried later.
 
         If an earlier attempt may have run, the status is 502 instead.
         """
         inputs: dict[str, Any] = {}
-        if verdict is not None:
-            inputs['full'] = verdict.service
-            inputs['short_of'] = verdict.shortage
-            inputs['share'] = round(verdict.share, 3)
+        if decision is not None:
+            inputs['full'] = decision.service
+            inputs['short_of'] = decision.shortage
+            inputs['share'] = round(decision.share, 3)
         status = _BAD_GATEWAY if call.has_run else _UNAVAILABLE
         self._respond(call, status, reason, retry_ms, **inputs)
 
