--- a/bench/membership_fleet.py
+++ b/bench/membership_fleet.py
@@ -14,7 +14,6 @@
 
 from lovageshunt._record import Record
 from lovageshunt.membership import (
-    Announce,
     Announcement,
     BulletinReceived,
     DigestReceived,
@@ -28,6 +27,7 @@
     PeerSilent,
     ReaderElection,
     ReadList,
+    SendBulletin,
     SendDigest,
     Ticked,
     VmList,
@@ -234,7 +234,7 @@
     def _carry_out(self, node: Node, action: Record) -> None:
         if isinstance(action, ReadList):
             self._read(node, is_watch=action.is_watch)
-        if isinstance(action, Announce):
+        if isinstance(action, SendBulletin):
             body = BulletinReceived(action.bulletin)
             self._send(node, action.peer.name, body, action.bulletin)
         if isinstance(action, OwnLeaveListed):
--- a/src/lovageshunt/membership/__init__.py
+++ b/src/lovageshunt/membership/__init__.py
@@ -1,12 +1,12 @@
 """Who is here, who is leaving and who has gone silent."""
 
 from lovageshunt.membership._actions import (
-    Announce,
     MembersChanged,
     OwnLeaveListed,
     Peer,
     Probe,
     ReadList,
+    SendBulletin,
     SendDigest,
 )
 from lovageshunt.membership._election import (
@@ -43,7 +43,7 @@
 from lovageshunt.membership._vms import ListedVm, VmList, VmState
 
 __all__ = [
-    'Announce',
+    'SendBulletin',
     'Announcement',
     'Bulletin',
     'BulletinReceived',
--- a/src/lovageshunt/membership/_actions.py
+++ b/src/lovageshunt/membership/_actions.py
@@ -23,7 +23,7 @@
         self.failure_domain = failure_domain
 
 
-class Announce(Record):
+class SendBulletin(Record):
     """Send a bulletin to a peer."""
 
     __slots__ = ('peer', 'bulletin')
--- a/src/lovageshunt/membership/_gossip.py
+++ b/src/lovageshunt/membership/_gossip.py
@@ -6,8 +6,8 @@
 
 from lovageshunt._record import Record
 from lovageshunt.membership._actions import (
-    Announce,
     Peer,
+    SendBulletin,
     SendDigest,
     peer_of,
 )
@@ -83,7 +83,7 @@
         """Tell peers what changed in the platform's list."""
         self._outbox.put(news, now)
 
-    def warning_of(self, news: ListNews, now: float) -> Announce:
+    def warning_of(self, news: ListNews, now: float) -> SendBulletin:
         """Return word to a VM that is listed as leaving.
 
         It may not know yet, and refuses calls as soon as it does, which
@@ -92,9 +92,9 @@
         """
         bulletin = self._bulletin([news], now)
         self._budget.spend(_sent_bytes(bulletin))
-        return Announce(peer_of(news), bulletin)
+        return SendBulletin(peer_of(news), bulletin)
 
-    def tell(self, fanout: int, now: float) -> list[Announce]:
+    def tell(self, fanout: int, now: float) -> list[SendBulletin]:
         """Return the waiting news for a few peers, as far as it fits."""
         peers = self.contacts.draw(fanout) if self._outbox else []
         if not peers:
@@ -108,7 +108,7 @@
             return []
         bulletin = self._bulletin(news, now)
         self._budget.spend(len(peers) * _sent_bytes(bulletin))
-        return [Announce(peer, bulletin) for peer in peers]
+        return [SendBulletin(peer, bulletin) for peer in peers]
 
     def is_digest_due(self, now: float) -> bool:
         """Return whether a digest is to be sent, and set the next time."""
@@ -205,7 +205,7 @@
         peer: Peer,
         digest: MembershipDigest,
         now: float,
-    ) -> list[Announce]:
+    ) -> list[SendBulletin]:
         missing: list[Announcement] = []
         for service, held in digest.held_by_service.items():
             missing.extend(self.facts.missing(service, frozenset(held), now))
@@ -215,7 +215,7 @@
             return []
         bulletin = self._bulletin(fitting, now)
         self._budget.spend(_sent_bytes(bulletin))
-        return [Announce(peer, bulletin)]
+        return [SendBulletin(peer, bulletin)]
 
     def _sent(
         self,
--- a/src/lovageshunt/node/control/_fleet_view.py
+++ b/src/lovageshunt/node/control/_fleet_view.py
@@ -8,7 +8,6 @@
 from lovageshunt._record import Record
 from lovageshunt.clock import now
 from lovageshunt.membership import (
-    Announce,
     Announcement,
     LeaveStarted,
     ListRead,
@@ -21,6 +20,7 @@
     Probe,
     ReaderElection,
     ReadList,
+    SendBulletin,
     SendDigest,
 )
 from lovageshunt.node.control._identity import Identity
@@ -136,7 +136,7 @@
         _log.error('no way to carry out %r', action)
 
     @_act.register
-    def _announce(self, action: Announce) -> None:
+    def _announce(self, action: SendBulletin) -> None:
         self._outbox.know(action.peer.name, action.peer.address)
         self._outbox.to(action.peer.name).bulletins.append(action.bulletin)
 
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -3,7 +3,6 @@
 from random import Random
 
 from lovageshunt.membership import (
-    Announce,
     LeaveStarted,
     ListedVm,
     ListNews,
@@ -15,6 +14,7 @@
     PeerSilent,
     Probe,
     ReadList,
+    SendBulletin,
     Ticked,
     VmState,
     wire_bytes,
@@ -144,7 +144,7 @@
         view.handle(reading_of(1, listed('a'), listed('b')), 0)
         reading = reading_of(2, listed('a', VmState.LEAVING), listed('b'))
         told = view.handle(reading, 1)[0]
-        assert isinstance(told, Announce)
+        assert isinstance(told, SendBulletin)
         assert told.peer.address == 'a:2'
         assert told.bulletin.list_news == [
             ListNews(
@@ -215,7 +215,7 @@
             sent += sum(
                 wire_bytes(action.bulletin) + 250
                 for action in actions
-                if isinstance(action, Announce)
+                if isinstance(action, SendBulletin)
             )
         assert 30_000 < sent < 8000 + 40 * 1000
 
@@ -243,7 +243,7 @@
         told = [
             action
             for action in view.handle(LeaveStarted(), 1)
-            if isinstance(action, Announce)
+            if isinstance(action, SendBulletin)
         ]
         assert {action.peer.name for action in told} == {'a', 'b'}
         leaves = told[0].bulletin.announcements
