--- a/bench/membership_fleet.py
+++ b/bench/membership_fleet.py
@@ -26,7 +26,7 @@
     PeerAnswered,
     PeerSilent,
     ReaderElection,
-    ReadList,
+    ReadVmList,
     SendBulletin,
     SendDigest,
     Ticked,
@@ -232,7 +232,7 @@
         return answer
 
     def _carry_out(self, node: Node, action: Record) -> None:
-        if isinstance(action, ReadList):
+        if isinstance(action, ReadVmList):
             self._read(node, is_watch=action.is_watch)
         if isinstance(action, SendBulletin):
             body = BulletinReceived(action.bulletin)
--- a/src/lovageshunt/membership/__init__.py
+++ b/src/lovageshunt/membership/__init__.py
@@ -5,7 +5,7 @@
     OwnLeaveListed,
     Peer,
     Probe,
-    ReadList,
+    ReadVmList,
     SendBulletin,
     SendDigest,
 )
@@ -70,7 +70,7 @@
     'PeerSilent',
     'Picture',
     'Probe',
-    'ReadList',
+    'ReadVmList',
     'ReaderElection',
     'SendDigest',
     'ServiceDigest',
--- a/src/lovageshunt/membership/_actions.py
+++ b/src/lovageshunt/membership/_actions.py
@@ -72,7 +72,7 @@
     __slots__ = ()
 
 
-class ReadList(Record):
+class ReadVmList(Record):
     """Read or watch the platform's list once, and report how it went."""
 
     __slots__ = ('is_watch',)
--- a/src/lovageshunt/membership/_election.py
+++ b/src/lovageshunt/membership/_election.py
@@ -9,7 +9,7 @@
 from xxhash import xxh3_64_intdigest
 
 from lovageshunt._record import Record
-from lovageshunt.membership._actions import ReadList
+from lovageshunt.membership._actions import ReadVmList
 from lovageshunt.membership._events import (
     BulletinReceived,
     DigestReceived,
@@ -145,7 +145,7 @@
         if not self._wants_to_read(now):
             return []
         self._is_reading = True
-        return [ReadList(is_watch=self._has_read and self.is_elected)]
+        return [ReadVmList(is_watch=self._has_read and self.is_elected)]
 
     @singledispatchmethod
     def _take(self, event: Record, now: float) -> None:
--- a/src/lovageshunt/membership/_view.py
+++ b/src/lovageshunt/membership/_view.py
@@ -10,7 +10,7 @@
     MembersChanged,
     OwnLeaveListed,
     Peer,
-    ReadList,
+    ReadVmList,
     peer_of,
 )
 from lovageshunt.membership._contacts import Contacts
@@ -151,7 +151,7 @@
         if news.name == self.own.name:
             if self._listing.has_read_past(news.revision):
                 # Late word of an earlier incarnation, or a restarted platform.
-                return (ReadList(is_watch=False),)
+                return (ReadVmList(is_watch=False),)
             is_own_leave = self._listing.is_own_leave(news.state, now)
             return (OwnLeaveListed(),) if is_own_leave else ()
         if not _concerns(self._roster, news):
--- a/src/lovageshunt/node/control/_fleet_view.py
+++ b/src/lovageshunt/node/control/_fleet_view.py
@@ -19,7 +19,7 @@
     Peer,
     Probe,
     ReaderElection,
-    ReadList,
+    ReadVmList,
     SendBulletin,
     SendDigest,
 )
@@ -159,7 +159,7 @@
         self.leave()
 
     @_act.register
-    def _read_list(self, action: ReadList) -> None:
+    def _read_list(self, action: ReadVmList) -> None:
         self.read_platform(action.is_watch)
 
 
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -13,7 +13,7 @@
     PeerAnswered,
     PeerSilent,
     Probe,
-    ReadList,
+    ReadVmList,
     SendBulletin,
     Ticked,
     VmState,
@@ -170,7 +170,7 @@
         view.handle(reading_of(5, ListedVm(**own)), 0)
         own['state'] = VmState.LEAVING
         news = ListNewsHeard(ListNews(revision=4, **own))
-        assert view.handle(news, 1) == [ReadList(is_watch=False)]
+        assert view.handle(news, 1) == [ReadVmList(is_watch=False)]
         assert view.handle(reading_of(4, ListedVm(**own)), 2) == []
 
     def test_own_leave_listed_at_the_start(self) -> None:
