--- a/bench/membership.py
+++ b/bench/membership.py
@@ -22,7 +22,6 @@
     DigestReceived,
     LeaveStarted,
     ListedVm,
-    ListRead,
     MembershipDigest,
     PeerAnnounced,
     PeerAnswered,
@@ -30,6 +29,7 @@
     ServiceDigest,
     Ticked,
     VmList,
+    VmListReceived,
     VmState,
 )
 
@@ -191,7 +191,7 @@
         self.vms = [
             ListedVm(**fields) for fields in orjson.loads(self.published)
         ]
-        self.reading = ListRead(VmList(revision=1, vms=self.vms))
+        self.reading = VmListReceived(VmList(revision=1, vms=self.vms))
         self.node.handle(self.reading, 0)
 
     def _digests(self) -> Sequence[Record]:
--- a/bench/membership_fleet.py
+++ b/bench/membership_fleet.py
@@ -19,7 +19,6 @@
     DigestReceived,
     LeaveStarted,
     ListedVm,
-    ListRead,
     ListReadFailed,
     MembershipView,
     OwnLeaveListed,
@@ -31,6 +30,7 @@
     SendDigest,
     Ticked,
     VmList,
+    VmListReceived,
     VmState,
     wire_bytes,
 )
@@ -227,7 +227,9 @@
                 return
             vms = list(self.listed.values())
             node.read_revision = self.revision
-            self.tell(node, ListRead(VmList(revision=self.revision, vms=vms)))
+            self.tell(
+                node, VmListReceived(VmList(revision=self.revision, vms=vms))
+            )
 
         return answer
 
--- a/src/lovageshunt/membership/__init__.py
+++ b/src/lovageshunt/membership/__init__.py
@@ -19,13 +19,13 @@
     DigestReceived,
     LeaveStarted,
     ListNewsHeard,
-    ListRead,
     ListReadFailed,
     PauseEnded,
     PeerAnnounced,
     PeerAnswered,
     PeerSilent,
     Ticked,
+    VmListReceived,
 )
 from lovageshunt.membership._incarnation import new_incarnation
 from lovageshunt.membership._member import Member
@@ -53,7 +53,7 @@
     'LeaveStarted',
     'ListNews',
     'ListNewsHeard',
-    'ListRead',
+    'VmListReceived',
     'ListReadFailed',
     'ListedVm',
     'Member',
--- a/src/lovageshunt/membership/_election.py
+++ b/src/lovageshunt/membership/_election.py
@@ -13,12 +13,12 @@
 from lovageshunt.membership._events import (
     BulletinReceived,
     DigestReceived,
-    ListRead,
     ListReadFailed,
     PauseEnded,
     PeerAnnounced,
     PeerAnswered,
     PeerSilent,
+    VmListReceived,
 )
 from lovageshunt.membership._news import NO_NEWS, PlatformNews
 from lovageshunt.membership._vms import VmState
@@ -152,7 +152,7 @@
         """Pass over events that do not matter here."""
 
     @_take.register
-    def _on_list_read(self, event: ListRead, now: float) -> None:
+    def _on_list_read(self, event: VmListReceived, now: float) -> None:
         self._is_reading = False
         self._has_read = True
         self._failures = 0
--- a/src/lovageshunt/membership/_events.py
+++ b/src/lovageshunt/membership/_events.py
@@ -10,7 +10,7 @@
 from lovageshunt.membership._vms import VmList
 
 
-class ListRead(Record):
+class VmListReceived(Record):
     """This node read the platform's list."""
 
     __slots__ = ('vm_list',)
--- a/src/lovageshunt/membership/_view.py
+++ b/src/lovageshunt/membership/_view.py
@@ -19,12 +19,12 @@
     DigestReceived,
     LeaveStarted,
     ListNewsHeard,
-    ListRead,
     PauseEnded,
     PeerAnnounced,
     PeerAnswered,
     PeerSilent,
     Ticked,
+    VmListReceived,
 )
 from lovageshunt.membership._gossip import Gossip
 from lovageshunt.membership._listing import Listing
@@ -115,7 +115,9 @@
         raise TypeError(f'{event!r} is no event of a membership view')
 
     @_handle.register
-    def _on_list_read(self, event: ListRead, now: float) -> Sequence[Record]:
+    def _on_list_read(
+        self, event: VmListReceived, now: float
+    ) -> Sequence[Record]:
         vms = [vm for vm in event.vm_list.vms if vm.name != self.own.name]
         reading = self._listing.read(event.vm_list, now)
         for vm in vms:
--- a/src/lovageshunt/node/control/_fleet_view.py
+++ b/src/lovageshunt/node/control/_fleet_view.py
@@ -10,7 +10,6 @@
 from lovageshunt.membership import (
     Announcement,
     LeaveStarted,
-    ListRead,
     ListReadFailed,
     Member,
     MembersChanged,
@@ -22,6 +21,7 @@
     ReadVmList,
     SendBulletin,
     SendDigest,
+    VmListReceived,
 )
 from lovageshunt.node.control._identity import Identity
 from lovageshunt.node.control._outbox import Outbox
@@ -72,7 +72,7 @@
         if isinstance(event, ListReadFailed):
             return
         self._perform(self._view.handle(event, at))
-        self._has_list = self._has_list or isinstance(event, ListRead)
+        self._has_list = self._has_list or isinstance(event, VmListReceived)
         # An incarnation changes without any change of who the members are,
         # so the run-once table's peers are brought up to date every time.
         self._update_peers(at)
--- a/src/lovageshunt/node/control/_platform_loop.py
+++ b/src/lovageshunt/node/control/_platform_loop.py
@@ -9,7 +9,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.errors import PlatformUnavailableError
-from lovageshunt.membership import ListRead, ListReadFailed, VmList
+from lovageshunt.membership import ListReadFailed, VmList, VmListReceived
 from lovageshunt.node.control._reading import document_of, vm_list_of
 from lovageshunt.published import (
     PUBLISHED_RULES,
@@ -98,7 +98,7 @@
                 self._take(name, reading.ok)
         has_answer = any(reading.is_ok() for reading in readings.values())
         if has_answer and self._last_list is not None:
-            self._tell(ListRead(self._last_list))
+            self._tell(VmListReceived(self._last_list))
             return
         self._tell(ListReadFailed())
 
--- a/tests/membership/builders.py
+++ b/tests/membership/builders.py
@@ -3,9 +3,9 @@
 from lovageshunt.membership import (
     Announcement,
     ListedVm,
-    ListRead,
     PeerAnnounced,
     VmList,
+    VmListReceived,
     VmState,
 )
 
@@ -67,6 +67,6 @@
     return PeerAnnounced(announcement)
 
 
-def reading_of(revision: int, *vms: ListedVm) -> ListRead:
+def reading_of(revision: int, *vms: ListedVm) -> VmListReceived:
     """Return the event that the list was read."""
-    return ListRead(VmList(revision=revision, vms=list(vms)))
+    return VmListReceived(VmList(revision=revision, vms=list(vms)))
--- a/tests/membership/test_election.py
+++ b/tests/membership/test_election.py
@@ -17,11 +17,11 @@
 from lovageshunt.membership import (
     Bulletin,
     BulletinReceived,
-    ListRead,
     ListReadFailed,
     PeerSilent,
     ReaderElection,
     Ticked,
+    VmListReceived,
 )
 from tests.membership.builders import listed, reading_of
 
@@ -139,7 +139,7 @@
 
     def answer_reads(self) -> None:
         """Answer the reads and watches that were asked for before."""
-        outcome: ListRead | ListReadFailed = ListReadFailed()
+        outcome: VmListReceived | ListReadFailed = ListReadFailed()
         if self.is_up:
             outcome = EVERY_VM
         answered = sorted(self.reading)
--- a/tests/membership/test_view_machine.py
+++ b/tests/membership/test_view_machine.py
@@ -16,7 +16,6 @@
 
 from lovageshunt.membership import (
     Announcement,
-    ListRead,
     MembershipView,
     PauseEnded,
     PeerAnnounced,
@@ -25,6 +24,7 @@
     Probe,
     Ticked,
     VmList,
+    VmListReceived,
     VmState,
 )
 from tests.membership.builders import listed, reading_of, said
@@ -64,7 +64,7 @@
         self.incarnation_by_name = dict.fromkeys((*VMS, STEADY), 1)
         self.state_by_name: dict[str, VmState] = {}
         self.under_way: list[Announcement] = []
-        self.published: list[ListRead] = []
+        self.published: list[VmListReceived] = []
         self.left_by_name: dict[str, str] = {}
         self.listed_leaving: set[str] = set()
         self.shown_leaving: set[str] = set()
--- a/tests/node/control/test_fleet_view.py
+++ b/tests/node/control/test_fleet_view.py
@@ -9,9 +9,9 @@
     Bulletin,
     BulletinReceived,
     ListedVm,
-    ListRead,
     ReaderElection,
     VmList,
+    VmListReceived,
 )
 from lovageshunt.node.control._fleet_view import FleetView
 from lovageshunt.node.control._identity import Identity
@@ -45,7 +45,7 @@
         region='one',
         address='127.0.0.1:3',
     )
-    fleet.tell(ListRead(VmList(revision=1, vms=[listed])))
+    fleet.tell(VmListReceived(VmList(revision=1, vms=[listed])))
     return fleet
 
 
