--- a/bench/membership_fleet.py
+++ b/bench/membership_fleet.py
@@ -19,7 +19,6 @@
     DigestReceived,
     LeaveStarted,
     ListedVm,
-    ListReadFailed,
     MembershipView,
     OwnLeaveListed,
     PeerAnswered,
@@ -30,6 +29,7 @@
     SendDigest,
     Ticked,
     VmList,
+    VmListReadFailed,
     VmListReceived,
     VmState,
     wire_bytes,
@@ -95,7 +95,7 @@
     def handle(self, event: Record, now: float) -> list[Record]:
         """Pass an event to the view and to the election."""
         actions = []
-        if not isinstance(event, ListReadFailed):
+        if not isinstance(event, VmListReadFailed):
             actions = self.view.handle(event, now)
         return actions + self.election.handle(event, now)
 
@@ -223,7 +223,7 @@
     def _answer_of(self, node: Node) -> Step:
         def answer() -> None:  # noqa: WPS430 the queue keeps steps
             if not self.platform_is_up:
-                self.tell(node, ListReadFailed())
+                self.tell(node, VmListReadFailed())
                 return
             vms = list(self.listed.values())
             node.read_revision = self.revision
--- a/src/lovageshunt/membership/__init__.py
+++ b/src/lovageshunt/membership/__init__.py
@@ -19,12 +19,12 @@
     DigestReceived,
     LeaveStarted,
     ListNewsHeard,
-    ListReadFailed,
     PauseEnded,
     PeerAnnounced,
     PeerAnswered,
     PeerSilent,
     Ticked,
+    VmListReadFailed,
     VmListReceived,
 )
 from lovageshunt.membership._incarnation import new_incarnation
@@ -54,7 +54,7 @@
     'ListNews',
     'ListNewsHeard',
     'VmListReceived',
-    'ListReadFailed',
+    'VmListReadFailed',
     'ListedVm',
     'Member',
     'NO_NEWS',
--- a/src/lovageshunt/membership/_election.py
+++ b/src/lovageshunt/membership/_election.py
@@ -13,11 +13,11 @@
 from lovageshunt.membership._events import (
     BulletinReceived,
     DigestReceived,
-    ListReadFailed,
     PauseEnded,
     PeerAnnounced,
     PeerAnswered,
     PeerSilent,
+    VmListReadFailed,
     VmListReceived,
 )
 from lovageshunt.membership._news import NO_NEWS, PlatformNews
@@ -169,7 +169,7 @@
         self._silent.intersection_update(self._candidates)
 
     @_take.register
-    def _on_read_failed(self, event: ListReadFailed, now: float) -> None:
+    def _on_read_failed(self, event: VmListReadFailed, now: float) -> None:
         self._is_reading = False
         delay = min(
             self._settings.first_retry_delay * 2**self._failures,
--- a/src/lovageshunt/membership/_events.py
+++ b/src/lovageshunt/membership/_events.py
@@ -20,7 +20,7 @@
         self.vm_list = vm_list
 
 
-class ListReadFailed(Record):
+class VmListReadFailed(Record):
     """The platform did not answer this node's read or watch."""
 
     __slots__ = ()
--- a/src/lovageshunt/node/control/_fleet_view.py
+++ b/src/lovageshunt/node/control/_fleet_view.py
@@ -10,7 +10,6 @@
 from lovageshunt.membership import (
     Announcement,
     LeaveStarted,
-    ListReadFailed,
     Member,
     MembersChanged,
     MembershipView,
@@ -21,6 +20,7 @@
     ReadVmList,
     SendBulletin,
     SendDigest,
+    VmListReadFailed,
     VmListReceived,
 )
 from lovageshunt.node.control._identity import Identity
@@ -69,7 +69,7 @@
         # The election takes each event first: the view answers a digest, and
         # may pass over what only the election must know.
         self._perform(self._election.handle(event, at))
-        if isinstance(event, ListReadFailed):
+        if isinstance(event, VmListReadFailed):
             return
         self._perform(self._view.handle(event, at))
         self._has_list = self._has_list or isinstance(event, VmListReceived)
--- a/src/lovageshunt/node/control/_platform_loop.py
+++ b/src/lovageshunt/node/control/_platform_loop.py
@@ -9,7 +9,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.errors import PlatformUnavailableError
-from lovageshunt.membership import ListReadFailed, VmList, VmListReceived
+from lovageshunt.membership import VmList, VmListReadFailed, VmListReceived
 from lovageshunt.node.control._reading import document_of, vm_list_of
 from lovageshunt.published import (
     PUBLISHED_RULES,
@@ -100,7 +100,7 @@
         if has_answer and self._last_list is not None:
             self._tell(VmListReceived(self._last_list))
             return
-        self._tell(ListReadFailed())
+        self._tell(VmListReadFailed())
 
     def _log_change(self, name: str, reading: _Reading) -> None:
         """Log a failure once, not at each try, and its end."""
--- a/tests/membership/test_election.py
+++ b/tests/membership/test_election.py
@@ -17,10 +17,10 @@
 from lovageshunt.membership import (
     Bulletin,
     BulletinReceived,
-    ListReadFailed,
     PeerSilent,
     ReaderElection,
     Ticked,
+    VmListReadFailed,
     VmListReceived,
 )
 from tests.membership.builders import listed, reading_of
@@ -76,7 +76,7 @@
         for second in range(600):
             if election.handle(Ticked(), second):
                 asked_at.append(second)
-                election.handle(ListReadFailed(), second)
+                election.handle(VmListReadFailed(), second)
         early = sum(asked < 60 for asked in asked_at)
         late = sum(asked >= 540 for asked in asked_at)
         assert late <= 2 < early
@@ -139,7 +139,7 @@
 
     def answer_reads(self) -> None:
         """Answer the reads and watches that were asked for before."""
-        outcome: VmListReceived | ListReadFailed = ListReadFailed()
+        outcome: VmListReceived | VmListReadFailed = VmListReadFailed()
         if self.is_up:
             outcome = EVERY_VM
         answered = sorted(self.reading)
