--- a/src/lovageshunt/membership/__init__.py
+++ b/src/lovageshunt/membership/__init__.py
@@ -32,9 +32,9 @@
 from lovageshunt.membership._messages import (
     Announcement,
     Bulletin,
-    ListNews,
     MembershipDigest,
     ServiceDigest,
+    VmListChange,
     wire_bytes,
 )
 from lovageshunt.membership._news import NO_NEWS
@@ -51,7 +51,7 @@
     'ElectionSettings',
     'EpochClock',
     'LeaveStarted',
-    'ListNews',
+    'VmListChange',
     'ListNewsHeard',
     'VmListReceived',
     'VmListReadFailed',
--- a/src/lovageshunt/membership/_actions.py
+++ b/src/lovageshunt/membership/_actions.py
@@ -5,8 +5,8 @@
 from lovageshunt.membership._messages import (
     Announcement,
     Bulletin,
-    ListNews,
     MembershipDigest,
+    VmListChange,
 )
 from lovageshunt.membership._vms import ListedVm
 
@@ -82,7 +82,7 @@
         self.is_watch = is_watch
 
 
-def peer_of(vm: ListedVm | ListNews | Announcement | Member) -> Peer:
+def peer_of(vm: ListedVm | VmListChange | Announcement | Member) -> Peer:
     """Return where a node takes exchange."""
     return Peer(
         name=vm.name,
--- a/src/lovageshunt/membership/_events.py
+++ b/src/lovageshunt/membership/_events.py
@@ -4,8 +4,8 @@
 from lovageshunt.membership._messages import (
     Announcement,
     Bulletin,
-    ListNews,
     MembershipDigest,
+    VmListChange,
 )
 from lovageshunt.membership._vms import VmList
 
@@ -31,7 +31,7 @@
 
     __slots__ = ('news',)
 
-    def __init__(self, news: ListNews) -> None:
+    def __init__(self, news: VmListChange) -> None:
         """Take the news."""
         self.news = news
 
--- a/src/lovageshunt/membership/_gossip.py
+++ b/src/lovageshunt/membership/_gossip.py
@@ -16,8 +16,8 @@
 from lovageshunt.membership._messages import (
     Announcement,
     Bulletin,
-    ListNews,
     MembershipDigest,
+    VmListChange,
     wire_bytes,
 )
 from lovageshunt.membership._news import PlatformNews
@@ -79,11 +79,11 @@
         self._outbox.put(announcement, now)
         return True
 
-    def pass_on(self, news: ListNews, now: float) -> None:
+    def pass_on(self, news: VmListChange, now: float) -> None:
         """Tell peers what changed in the platform's list."""
         self._outbox.put(news, now)
 
-    def warning_of(self, news: ListNews, now: float) -> SendBulletin:
+    def warning_of(self, news: VmListChange, now: float) -> SendBulletin:
         """Return word to a VM that is listed as leaving.
 
         It may not know yet, and refuses calls as soon as it does, which
@@ -239,7 +239,7 @@
             for one in news
             if isinstance(one, Announcement)
         ]
-        list_news = [one for one in news if isinstance(one, ListNews)]
+        list_news = [one for one in news if isinstance(one, VmListChange)]
         return Bulletin(
             announcements=announcements,
             list_news=list_news,
--- a/src/lovageshunt/membership/_listing.py
+++ b/src/lovageshunt/membership/_listing.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from lovageshunt.membership._messages import ListNews
+from lovageshunt.membership._messages import VmListChange
 from lovageshunt.membership._vms import ListedVm, VmList, VmState
 
 #: A change is news to others only if the reading before was this recent.
@@ -22,7 +22,7 @@
         self,
         *,
         is_current: bool,
-        changes: list[ListNews],
+        changes: list[VmListChange],
         is_own_leave: bool,
     ) -> None:
         """Take every field by name."""
@@ -69,7 +69,7 @@
         is_current = self._is_current(vm_list.revision, now)
         vm_by_name = {vm.name: vm for vm in vm_list.vms}
         is_own_leave = False
-        changes: list[ListNews] = []
+        changes: list[VmListChange] = []
         if is_current:
             changes = self._changes(vm_by_name, vm_list.revision, now)
             self._vm_by_name = vm_by_name
@@ -82,7 +82,7 @@
             is_own_leave=is_own_leave,
         )
 
-    def hear(self, news: ListNews) -> bool:
+    def hear(self, news: VmListChange) -> bool:
         """Return whether what a reader saw is heard for the first time."""
         key = (news.name, news.state, news.revision)
         if key in self._heard:
@@ -97,7 +97,7 @@
         """Return whether this node read a later list than that of some news."""
         return revision < self._highest
 
-    def is_latest(self, news: ListNews) -> bool:
+    def is_latest(self, news: VmListChange) -> bool:
         """Return whether no later revision told of the VM."""
         latest = max(self._revision_by_name.get(news.name, -1), news.revision)
         self._revision_by_name[news.name] = latest
@@ -141,7 +141,7 @@
         vm_by_name: dict[str, ListedVm],
         revision: int,
         now: float,
-    ) -> list[ListNews]:
+    ) -> list[VmListChange]:
         if (
             self._read_at is None
             or now - self._read_at > _SPREAD_WITHIN_SECONDS
@@ -161,5 +161,5 @@
         return changed + gone
 
 
-def _news(vm: ListedVm, state: VmState, revision: int) -> ListNews:
-    return ListNews(revision=revision, state=state, **vm.facts())
+def _news(vm: ListedVm, state: VmState, revision: int) -> VmListChange:
+    return VmListChange(revision=revision, state=state, **vm.facts())
--- a/src/lovageshunt/membership/_messages.py
+++ b/src/lovageshunt/membership/_messages.py
@@ -60,7 +60,7 @@
         return _made(cls, known)
 
 
-class ListNews(VmFacts):
+class VmListChange(VmFacts):
     """What a reader of the platform saw change in its list.
 
     ``state`` is ``GONE`` when the list names the VM no longer.
@@ -113,7 +113,7 @@
         self,
         *,
         announcements: list[Announcement],
-        list_news: list[ListNews],
+        list_news: list[VmListChange],
         news_age_ms: int = NO_NEWS,
     ) -> None:
         """Take every field by name."""
@@ -140,7 +140,8 @@
                 for one in _listed(known, 'announcements')
             ],
             list_news=[
-                ListNews.from_fields(one) for one in _listed(known, 'list_news')
+                VmListChange.from_fields(one)
+                for one in _listed(known, 'list_news')
             ],
             news_age_ms=known.get('news_age_ms', NO_NEWS),
         )
--- a/src/lovageshunt/membership/_outbox.py
+++ b/src/lovageshunt/membership/_outbox.py
@@ -2,7 +2,11 @@
 
 from typing import Final
 
-from lovageshunt.membership._messages import Announcement, ListNews, wire_bytes
+from lovageshunt.membership._messages import (
+    Announcement,
+    VmListChange,
+    wire_bytes,
+)
 from lovageshunt.membership._vms import VmState
 
 #: What a message takes besides its items: request line, headers, framing.
@@ -12,7 +16,7 @@
 
 _MS_PER_SECOND: Final = 1000
 
-News = Announcement | ListNews
+News = Announcement | VmListChange
 
 
 class ByteBudget:
--- a/src/lovageshunt/membership/_view.py
+++ b/src/lovageshunt/membership/_view.py
@@ -29,7 +29,7 @@
 from lovageshunt.membership._gossip import Gossip
 from lovageshunt.membership._listing import Listing
 from lovageshunt.membership._member import Member
-from lovageshunt.membership._messages import Announcement, ListNews
+from lovageshunt.membership._messages import Announcement, VmListChange
 from lovageshunt.membership._roster import Roster
 from lovageshunt.membership._settings import MembershipSettings
 from lovageshunt.membership._vms import ListedVm, VmState
@@ -251,10 +251,10 @@
 
 def _concerns(
     roster: Roster,
-    news: ListedVm | Announcement | ListNews,
+    news: ListedVm | Announcement | VmListChange,
 ) -> bool:
     return news.service in roster.index.services or news.name in roster.by_name
 
 
-def _listed_vm(news: ListNews) -> ListedVm:
+def _listed_vm(news: VmListChange) -> ListedVm:
     return ListedVm(state=news.state, **news.facts())
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -8,9 +8,9 @@
 from lovageshunt.errors import MalformedMembershipError
 from lovageshunt.membership import (
     Bulletin,
-    ListNews,
     MembershipDigest,
     ServiceDigest,
+    VmListChange,
     VmState,
     wire_bytes,
 )
@@ -18,7 +18,9 @@
 
 BULLETIN = Bulletin(
     announcements=[said('a', is_leaving=True, age_ms=5)],
-    list_news=[ListNews(revision=7, **listed('b', VmState.LEAVING).as_dict())],
+    list_news=[
+        VmListChange(revision=7, **listed('b', VmState.LEAVING).as_dict())
+    ],
     news_age_ms=3,
 )
 DIGEST = MembershipDigest(
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -5,7 +5,6 @@
 from lovageshunt.membership import (
     LeaveStarted,
     ListedVm,
-    ListNews,
     ListNewsHeard,
     MembersChanged,
     MembershipView,
@@ -16,6 +15,7 @@
     ReadVmList,
     SendBulletin,
     Ticked,
+    VmListChange,
     VmState,
     wire_bytes,
 )
@@ -147,7 +147,7 @@
         assert isinstance(told, SendBulletin)
         assert told.peer.address == 'a:2'
         assert told.bulletin.list_news == [
-            ListNews(
+            VmListChange(
                 revision=2,
                 **listed('a', VmState.LEAVING).as_dict(),
             ),
@@ -159,7 +159,7 @@
         own = listed('own').as_dict() | {'service': 'balances'}
         view.handle(reading_of(1, ListedVm(**own)), 0)
         own['state'] = VmState.LEAVING
-        news = ListNewsHeard(ListNews(revision=2, **own))
+        news = ListNewsHeard(VmListChange(revision=2, **own))
         assert view.handle(news, 1) == [OwnLeaveListed()]
         assert view.handle(news, 1) == []
 
@@ -169,7 +169,7 @@
         own = listed('own').as_dict() | {'service': 'balances'}
         view.handle(reading_of(5, ListedVm(**own)), 0)
         own['state'] = VmState.LEAVING
-        news = ListNewsHeard(ListNews(revision=4, **own))
+        news = ListNewsHeard(VmListChange(revision=4, **own))
         assert view.handle(news, 1) == [ReadVmList(is_watch=False)]
         assert view.handle(reading_of(4, ListedVm(**own)), 2) == []
 
