--- a/src/lovageshunt/membership/_events.py
+++ b/src/lovageshunt/membership/_events.py
@@ -26,7 +26,7 @@
     __slots__ = ()
 
 
-class ListNewsHeard(Record):
+class VmListChangeReceived(Record):
     """A peer passed on what a reader saw change in the platform's list."""
 
     __slots__ = ('news',)
--- a/src/lovageshunt/membership/_view.py
+++ b/src/lovageshunt/membership/_view.py
@@ -18,12 +18,12 @@
     BulletinReceived,
     DigestReceived,
     LeaveStarted,
-    ListNewsHeard,
     PauseEnded,
     PeerAnnounced,
     PeerAnswered,
     PeerSilent,
     Ticked,
+    VmListChangeReceived,
     VmListReceived,
 )
 from lovageshunt.membership._gossip import Gossip
@@ -143,7 +143,7 @@
     @_handle.register
     def _on_list_news(
         self,
-        event: ListNewsHeard,
+        event: VmListChangeReceived,
         now: float,
     ) -> Sequence[Record]:
         news = event.news
@@ -196,7 +196,7 @@
             self._on_announced(PeerAnnounced(announcement), now)
         actions: list[Record] = []
         for news in bulletin.list_news:
-            actions.extend(self._on_list_news(ListNewsHeard(news), now))
+            actions.extend(self._on_list_news(VmListChangeReceived(news), now))
         return actions
 
     @_handle.register
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -5,7 +5,6 @@
 from lovageshunt.membership import (
     LeaveStarted,
     ListedVm,
-    ListNewsHeard,
     MembersChanged,
     MembershipView,
     OwnLeaveListed,
@@ -16,6 +15,7 @@
     SendBulletin,
     Ticked,
     VmListChange,
+    VmListChangeReceived,
     VmState,
     wire_bytes,
 )
@@ -159,7 +159,7 @@
         own = listed('own').as_dict() | {'service': 'balances'}
         view.handle(reading_of(1, ListedVm(**own)), 0)
         own['state'] = VmState.LEAVING
-        news = ListNewsHeard(VmListChange(revision=2, **own))
+        news = VmListChangeReceived(VmListChange(revision=2, **own))
         assert view.handle(news, 1) == [OwnLeaveListed()]
         assert view.handle(news, 1) == []
 
@@ -169,7 +169,7 @@
         own = listed('own').as_dict() | {'service': 'balances'}
         view.handle(reading_of(5, ListedVm(**own)), 0)
         own['state'] = VmState.LEAVING
-        news = ListNewsHeard(VmListChange(revision=4, **own))
+        news = VmListChangeReceived(VmListChange(revision=4, **own))
         assert view.handle(news, 1) == [ReadVmList(is_watch=False)]
         assert view.handle(reading_of(4, ListedVm(**own)), 2) == []
 
