--- a/src/lovageshunt/membership/__init__.py
+++ b/src/lovageshunt/membership/__init__.py
@@ -37,7 +37,7 @@
     VmListChange,
     wire_bytes,
 )
-from lovageshunt.membership._news import NO_NEWS
+from lovageshunt.membership._news import AGE_UNKNOWN
 from lovageshunt.membership._settings import MembershipSettings
 from lovageshunt.membership._view import MembershipView
 from lovageshunt.membership._vms import ListedVm, VmList, VmState
@@ -57,7 +57,7 @@
     'VmListReadFailed',
     'ListedVm',
     'Member',
-    'NO_NEWS',
+    'AGE_UNKNOWN',
     'MembersChanged',
     'MembershipDigest',
     'MembershipSettings',
--- a/src/lovageshunt/membership/_election.py
+++ b/src/lovageshunt/membership/_election.py
@@ -20,7 +20,7 @@
     VmListReadFailed,
     VmListReceived,
 )
-from lovageshunt.membership._news import NO_NEWS, PlatformNews
+from lovageshunt.membership._news import AGE_UNKNOWN, PlatformNews
 from lovageshunt.membership._vms import VmState
 
 _MS_PER_SECOND: Final = 1000
@@ -123,7 +123,7 @@
         Negative while none is known.
         """
         age_ms = self._news.age_ms(now)
-        return -1 if age_ms == NO_NEWS else age_ms / _MS_PER_SECOND
+        return -1 if age_ms == AGE_UNKNOWN else age_ms / _MS_PER_SECOND
 
     @property
     def readers(self) -> list[str]:
--- a/src/lovageshunt/membership/_messages.py
+++ b/src/lovageshunt/membership/_messages.py
@@ -6,7 +6,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.errors import MalformedMembershipError
-from lovageshunt.membership._news import NO_NEWS
+from lovageshunt.membership._news import AGE_UNKNOWN
 from lovageshunt.membership._vms import VmFactFields, VmFacts, VmState
 
 #: No count of milliseconds on the wire may be larger.
@@ -104,7 +104,7 @@
     """What one node tells another: announcements and news of the list.
 
     ``news_age_ms`` is how long ago the platform had last answered a reader
-    of whom the sender heard, or ``NO_NEWS``.
+    of whom the sender heard, or ``AGE_UNKNOWN``.
     """
 
     __slots__ = ('announcements', 'list_news', 'news_age_ms')
@@ -114,7 +114,7 @@
         *,
         announcements: list[Announcement],
         list_news: list[VmListChange],
-        news_age_ms: int = NO_NEWS,
+        news_age_ms: int = AGE_UNKNOWN,
     ) -> None:
         """Take every field by name."""
         self.announcements = announcements
@@ -143,7 +143,7 @@
                 VmListChange.from_fields(one)
                 for one in _listed(known, 'list_news')
             ],
-            news_age_ms=known.get('news_age_ms', NO_NEWS),
+            news_age_ms=known.get('news_age_ms', AGE_UNKNOWN),
         )
 
 
@@ -181,7 +181,7 @@
         address: str,
         digest_by_service: dict[str, ServiceDigest] | None = None,
         held_by_service: dict[str, list[int]] | None = None,
-        news_age_ms: int = NO_NEWS,
+        news_age_ms: int = AGE_UNKNOWN,
     ) -> None:
         """Take every field by name."""
         self.sender = sender
@@ -263,7 +263,7 @@
 
 
 def _check_news_age(fields: dict[str, Any]) -> None:
-    if fields.get('news_age_ms', NO_NEWS) != NO_NEWS:
+    if fields.get('news_age_ms', AGE_UNKNOWN) != AGE_UNKNOWN:
         _check_count(fields, 'news_age_ms', _MAX_MS)
 
 
--- a/src/lovageshunt/membership/_news.py
+++ b/src/lovageshunt/membership/_news.py
@@ -6,7 +6,7 @@
 #: News that is later by less is not sent in answer.
 _WORTH_TELLING_MS: Final = 1000
 #: Stands for an age that is not known.
-NO_NEWS: Final = -1
+AGE_UNKNOWN: Final = -1
 
 
 class PlatformNews:
@@ -27,7 +27,7 @@
 
     def hear_age(self, age_ms: int, now: float) -> bool:
         """Take in what a peer told; return whether it is later."""
-        if age_ms == NO_NEWS:
+        if age_ms == AGE_UNKNOWN:
             return False
         return self.hear(now - age_ms / _MS_PER_SECOND)
 
@@ -36,11 +36,11 @@
         if self._answered_at is None:
             return False
         own_age_ms = self.age_ms(now)
-        return age_ms == NO_NEWS or own_age_ms + _WORTH_TELLING_MS < age_ms
+        return age_ms == AGE_UNKNOWN or own_age_ms + _WORTH_TELLING_MS < age_ms
 
     def age_ms(self, now: float) -> int:
-        """Return the age of the news, or ``NO_NEWS``."""
+        """Return the age of the news, or ``AGE_UNKNOWN``."""
         if self._answered_at is None:
-            return NO_NEWS
+            return AGE_UNKNOWN
         age = max(0, now - self._answered_at)
         return int(age * _MS_PER_SECOND)
