--- a/src/lovageshunt/membership/__init__.py
+++ b/src/lovageshunt/membership/__init__.py
@@ -13,7 +13,7 @@
     ElectionSettings,
     ReaderElection,
 )
-from lovageshunt.membership._epochs import EpochClock, Picture
+from lovageshunt.membership._epochs import EpochClock, StampedInputs
 from lovageshunt.membership._events import (
     BulletinReceived,
     DigestReceived,
@@ -68,7 +68,7 @@
     'PeerAnnounced',
     'PeerAnswered',
     'PeerSilent',
-    'Picture',
+    'StampedInputs',
     'Probe',
     'ReadVmList',
     'ReaderElection',
--- a/src/lovageshunt/membership/_epochs.py
+++ b/src/lovageshunt/membership/_epochs.py
@@ -7,7 +7,7 @@
 _InputsT = TypeVar('_InputsT')
 
 
-class Picture(Generic[_InputsT]):
+class StampedInputs(Generic[_InputsT]):
     """The inputs of a decision and the epoch in which they were read."""
 
     __slots__ = ('inputs', 'epoch')
@@ -54,9 +54,9 @@
         self.epoch += 1
         return True
 
-    def stamp(self, inputs: _InputsT) -> Picture[_InputsT]:
+    def stamp(self, inputs: _InputsT) -> StampedInputs[_InputsT]:
         """Return the inputs stamped with the present epoch."""
-        return Picture(inputs, self.epoch)
+        return StampedInputs(inputs, self.epoch)
 
     def require(self, epoch: int, now: float) -> None:
         """Check right before dispatch that no pause came in between.
