--- a/bench/membership.py
+++ b/bench/membership.py
@@ -23,11 +23,11 @@
     LeaveStarted,
     ListedVm,
     MembershipDigest,
+    MembershipTicked,
     PeerAnnounced,
     PeerAnswered,
     PeerSilent,
     ServiceDigest,
-    Ticked,
     VmList,
     VmListReceived,
     VmState,
@@ -170,7 +170,7 @@
         """Return the rows of the table."""
         called = self.node.view.members_of(self.node.needed[0])
         rows = [
-            self._row('tick', [Ticked() for _ in range(_ROUNDS)]),
+            self._row('tick', [MembershipTicked() for _ in range(_ROUNDS)]),
             self._row('announcement', self._words()),
             self._row('answer', [PeerAnswered(one.name) for one in called]),
             self._row('silence', [PeerSilent(one.name) for one in called]),
--- a/bench/membership_fleet.py
+++ b/bench/membership_fleet.py
@@ -19,6 +19,7 @@
     DigestReceived,
     LeaveStarted,
     ListedVm,
+    MembershipTicked,
     MembershipView,
     OwnLeaveListed,
     PeerAnswered,
@@ -27,7 +28,6 @@
     ReadVmList,
     SendBulletin,
     SendDigest,
-    Ticked,
     VmList,
     VmListReadFailed,
     VmListReceived,
@@ -215,7 +215,7 @@
     def _tick_of(self, node: Node) -> Step:
         def tick() -> None:  # noqa: WPS430 the queue keeps steps
             if node.is_up:
-                self.tell(node, Ticked())
+                self.tell(node, MembershipTicked())
                 self._after(TICK_SECONDS, tick)
 
         return tick
--- a/src/lovageshunt/membership/_events.py
+++ b/src/lovageshunt/membership/_events.py
@@ -98,7 +98,7 @@
         self.digest = digest
 
 
-class Ticked(Record):
+class MembershipTicked(Record):
     """The timer turned; a few times a second."""
 
     __slots__ = ()
--- a/src/lovageshunt/membership/_view.py
+++ b/src/lovageshunt/membership/_view.py
@@ -18,11 +18,11 @@
     BulletinReceived,
     DigestReceived,
     LeaveStarted,
+    MembershipTicked,
     PauseEnded,
     PeerAnnounced,
     PeerAnswered,
     PeerSilent,
-    Ticked,
     VmListChangeReceived,
     VmListReceived,
 )
@@ -218,7 +218,9 @@
         return self._gossip.answer(event.digest, self.own, now)
 
     @_handle.register
-    def _on_ticked(self, event: Ticked, now: float) -> Sequence[Record]:
+    def _on_ticked(
+        self, event: MembershipTicked, now: float
+    ) -> Sequence[Record]:
         if now >= self._expire_at:
             self._expire_at = now + _EXPIRE_SECONDS
             self._roster.expire(now)
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -14,9 +14,9 @@
     BulletinReceived,
     DigestReceived,
     Member,
+    MembershipTicked,
     PeerAnswered,
     PeerSilent,
-    Ticked,
 )
 from lovageshunt.node.control._envelope import Envelope
 from lovageshunt.node.control._fleet_view import FleetView
@@ -71,7 +71,7 @@
 
     def tick(self) -> None:
         """Let time pass, then send what has gathered."""
-        self.fleet.tell(Ticked())
+        self.fleet.tell(MembershipTicked())
         peers = self.fleet.exchange_peers(_EXCHANGE_PEERS)
         ticked = SpreadTicked(
             peers=[peer.name for peer in peers],
--- a/tests/membership/test_election.py
+++ b/tests/membership/test_election.py
@@ -17,9 +17,9 @@
 from lovageshunt.membership import (
     Bulletin,
     BulletinReceived,
+    MembershipTicked,
     PeerSilent,
     ReaderElection,
-    Ticked,
     VmListReadFailed,
     VmListReceived,
 )
@@ -74,7 +74,7 @@
         election = new_election('vm0')
         asked_at = []
         for second in range(600):
-            if election.handle(Ticked(), second):
+            if election.handle(MembershipTicked(), second):
                 asked_at.append(second)
                 election.handle(VmListReadFailed(), second)
         early = sum(asked < 60 for asked in asked_at)
@@ -107,7 +107,7 @@
             self.answer_reads()
             self.spread_news()
             for name in self.by_name:
-                self.tell(name, Ticked())
+                self.tell(name, MembershipTicked())
 
     @rule(victims=st.sets(st.sampled_from(NAMES), min_size=1))
     def kill(self, victims: set[str]) -> None:
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -6,6 +6,7 @@
     LeaveStarted,
     ListedVm,
     MembersChanged,
+    MembershipTicked,
     MembershipView,
     OwnLeaveListed,
     PeerAnswered,
@@ -13,7 +14,6 @@
     Probe,
     ReadVmList,
     SendBulletin,
-    Ticked,
     VmListChange,
     VmListChangeReceived,
     VmState,
@@ -119,7 +119,7 @@
         view = new_view()
         view.handle(reading_of(1, *(listed(name) for name in 'abc')), 0)
         view.handle(PeerSilent('a'), 1)
-        assert Probe('a', 'a:1') in view.handle(Ticked(), 3)
+        assert Probe('a', 'a:1') in view.handle(MembershipTicked(), 3)
         view.handle(PeerAnswered('a', '1'), 4)
         assert not view.members_of('records')[0].is_suspect
 
@@ -211,7 +211,7 @@
         sent = 0
         for turn in range(400):
             actions = view.handle(word(f'v{turn}', age_ms=turn), turn / 10)
-            actions += view.handle(Ticked(), turn / 10)
+            actions += view.handle(MembershipTicked(), turn / 10)
             sent += sum(
                 wire_bytes(action.bulletin) + 250
                 for action in actions
@@ -239,7 +239,7 @@
         """A leave is announced to peers without waiting for a tick."""
         view = new_view()
         view.handle(reading_of(1, listed('a'), listed('b')), 0)
-        view.handle(Ticked(), 0.1)
+        view.handle(MembershipTicked(), 0.1)
         told = [
             action
             for action in view.handle(LeaveStarted(), 1)
--- a/tests/membership/test_view_machine.py
+++ b/tests/membership/test_view_machine.py
@@ -16,13 +16,13 @@
 
 from lovageshunt.membership import (
     Announcement,
+    MembershipTicked,
     MembershipView,
     PauseEnded,
     PeerAnnounced,
     PeerAnswered,
     PeerSilent,
     Probe,
-    Ticked,
     VmList,
     VmListReceived,
     VmState,
@@ -86,7 +86,7 @@
     def wait(self, gap: float) -> None:
         """Let time pass; probes to the steady VM are answered."""
         self.now += gap
-        for action in self.view.handle(Ticked(), self.now):
+        for action in self.view.handle(MembershipTicked(), self.now):
             if isinstance(action, Probe) and action.name == STEADY:
                 answer = PeerAnswered(STEADY, self.current(STEADY))
                 self.view.handle(answer, self.now)
