--- a/src/lovageshunt/membership/_roster.py
+++ b/src/lovageshunt/membership/_roster.py
@@ -46,7 +46,7 @@
         self.by_name: dict[str, Tracked] = {}
         self._departures = Departures(settings.departed_horizon)
 
-    def lately_departed(self, service: str, now: float) -> list[Member]:
+    def recently_departed(self, service: str, now: float) -> list[Member]:
         """Return those that are leaving or left within the horizon."""
         since = now - self._settings.departed_horizon
         leaving = [
--- a/src/lovageshunt/membership/_view.py
+++ b/src/lovageshunt/membership/_view.py
@@ -92,9 +92,9 @@
         """
         return self._roster.index.members_of(service)
 
-    def lately_departed(self, service: str) -> list[Member]:
+    def recently_departed(self, service: str) -> list[Member]:
         """Return those that are leaving, or left within the horizon."""
-        return self._roster.lately_departed(service, self._now)
+        return self._roster.recently_departed(service, self._now)
 
     def peers_for_exchange(self, count: int) -> list[Peer]:
         """Draw peers, half of the own failure domain, some of each other."""
--- a/src/lovageshunt/node/control/_fleet_view.py
+++ b/src/lovageshunt/node/control/_fleet_view.py
@@ -111,7 +111,7 @@
     def ingress_address(self, node: str) -> str | None:
         """Return where a node of the own service takes calls."""
         service = self._identity.service
-        known = (*self.members(service), *self._view.lately_departed(service))
+        known = (*self.members(service), *self._view.recently_departed(service))
         for member in known:
             if member.name == node:
                 return member.address
@@ -123,7 +123,7 @@
         service = self._identity.service
         self.peers.update(
             self._view.members_of(service),
-            self._view.lately_departed(service),
+            self._view.recently_departed(service),
             at,
         )
 
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -40,7 +40,7 @@
 
 def departed(view: MembershipView) -> list[str]:
     """Return the names of those that lately left records."""
-    return [member.name for member in view.lately_departed('records')]
+    return [member.name for member in view.recently_departed('records')]
 
 
 class TestLeaving:
