--- a/src/lovageshunt/membership/_election.py
+++ b/src/lovageshunt/membership/_election.py
@@ -117,7 +117,7 @@
         self._failures = 0
         self._volunteer_at: float | None = None
 
-    def news_age_seconds(self, now: float) -> float:
+    def platform_answer_age_seconds(self, now: float) -> float:
         """Return how long ago a reader is known to have had an answer.
 
         Negative while none is known.
--- a/src/lovageshunt/node/control/_fleet_view.py
+++ b/src/lovageshunt/node/control/_fleet_view.py
@@ -93,7 +93,7 @@
 
         Negative while it is not known to have.
         """
-        return self._election.news_age_seconds(now())
+        return self._election.platform_answer_age_seconds(now())
 
     @property
     def readers(self) -> list[str]:
