--- a/src/lovageshunt/membership/__init__.py
+++ b/src/lovageshunt/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Who is here, who is leaving and who has gone silent."""
+"""Track the members of services: who is live, leaving or unresponsive."""
 
 from lovageshunt.membership._actions import (
     MembersChanged,
@@ -37,7 +37,7 @@
     VmListChange,
     wire_bytes,
 )
-from lovageshunt.membership._news import AGE_UNKNOWN
+from lovageshunt.membership._platform_answer import AGE_UNKNOWN
 from lovageshunt.membership._settings import MembershipSettings
 from lovageshunt.membership._view import MembershipView
 from lovageshunt.membership._vms import ListedVm, VmList, VmState
--- a/src/lovageshunt/membership/_actions.py
+++ b/src/lovageshunt/membership/_actions.py
@@ -1,4 +1,4 @@
-"""What a view of the members asks its daemon to do."""
+"""The actions that membership decisions request from the daemon."""
 
 from lovageshunt._record import Record
 from lovageshunt.membership._member import Member
@@ -12,12 +12,15 @@
 
 
 class Peer(Record):
-    """Where another node takes exchange: its name and "ip:port"."""
+    """A node to exchange messages with.
+
+    ``address`` is "ip:port" of its exchange endpoint; ``failure_domain`` is
+    empty when it is not known.
+    """
 
     __slots__ = ('name', 'address', 'failure_domain')
 
     def __init__(self, *, name: str, address: str, failure_domain: str) -> None:
-        """Take every field by name."""
         self.name = name
         self.address = address
         self.failure_domain = failure_domain
@@ -29,61 +32,65 @@
     __slots__ = ('peer', 'bulletin')
 
     def __init__(self, peer: Peer, bulletin: Bulletin) -> None:
-        """Take the peer and what to tell it."""
         self.peer = peer
         self.bulletin = bulletin
 
 
 class SendDigest(Record):
-    """Send a digest to a peer; it answers with a bulletin of what is lacked."""
+    """Send a digest to a peer, which replies with what the sender lacks."""
 
     __slots__ = ('peer', 'digest')
 
     def __init__(self, peer: Peer, digest: MembershipDigest) -> None:
-        """Take the peer and the digest."""
         self.peer = peer
         self.digest = digest
 
 
 class Probe(Record):
-    """Ask a peer for a sign; report ``PeerAnswered`` or ``PeerSilent``."""
+    """Probe a peer; report ``PeerAnswered`` or ``PeerSilent``.
+
+    ``address`` is the "ip:port" at which the peer accepts calls.
+    """
 
     __slots__ = ('name', 'address')
 
     def __init__(self, name: str, address: str) -> None:
-        """Name the peer and its address for calls."""
         self.name = name
         self.address = address
 
 
 class MembersChanged(Record):
-    """The members of a service that may get calls have changed."""
+    """The members of ``service`` that may receive calls have changed."""
 
     __slots__ = ('service',)
 
     def __init__(self, service: str) -> None:
-        """Name the service."""
         self.service = service
 
 
 class OwnLeaveListed(Record):
-    """The platform lists this node's VM as leaving; begin to leave."""
+    """The platform lists this node's VM as leaving; start leaving."""
 
     __slots__ = ()
 
 
 class ReadVmList(Record):
-    """Read or watch the platform's list once, and report how it went."""
+    """Read the platform's VM list once and report the outcome.
+
+    ``is_watch``: wait for a revision newer than the last one read.
+    """
 
     __slots__ = ('is_watch',)
 
     def __init__(self, *, is_watch: bool) -> None:
-        """Tell whether to wait for a change after what was last read."""
         self.is_watch = is_watch
 
 
 def peer_of(vm: ListedVm | VmListChange | Announcement | Member) -> Peer:
-    """Return where a node takes exchange."""
+    """Return the exchange peer for a VM.
+
+    The call address is used if the VM has no admin address.
+    """
     return Peer(
         name=vm.name,
         address=vm.admin_address or vm.address,
--- a/src/lovageshunt/membership/_election.py
+++ b/src/lovageshunt/membership/_election.py
@@ -1,4 +1,4 @@
-"""Which nodes read the platform, without coordination."""
+"""Election of the nodes that read the platform, without coordination."""
 
 from collections.abc import Iterable
 from functools import singledispatchmethod
@@ -20,62 +20,66 @@
     VmListReadFailed,
     VmListReceived,
 )
-from lovageshunt.membership._news import AGE_UNKNOWN, PlatformNews
+from lovageshunt.membership._platform_answer import (
+    AGE_UNKNOWN,
+    LastPlatformAnswer,
+)
 from lovageshunt.membership._vms import VmState
 
 _MS_PER_SECOND: Final = 1000
-#: How many candidates are kept beside the readers, to replace silent ones.
-_SPARE_CANDIDATES: Final = 16
+#: Candidates kept in addition to the readers, to replace silent ones.
+_MAX_SPARE_CANDIDATES: Final = 16
 
 
 class ElectionSettings(Record):
-    """Times in seconds.
-
-    ``readers_per_failure_domain`` watch the platform. A node that heard no
-    news for ``news_timeout`` reads it itself, after a random delay of up to
-    ``volunteer_jitter``. The first read is delayed by up to ``start_jitter``
-    and a failed one is repeated after a delay that doubles from
-    ``first_retry_delay`` to ``longest_retry_delay``, each with jitter.
-    ``watch_gap`` is the least time between two reads.
+    """When a node reads the platform.
+
+    ``readers_per_failure_domain``: how many nodes watch the platform.
+    ``max_answer_age_seconds``: any other node reads the platform itself when
+    the last known answer is older than this, after a random delay of up to
+    ``fallback_jitter_seconds``.
+    ``start_jitter_seconds``: maximum random delay of the first read.
+    ``min_retry_delay_seconds``, ``max_retry_delay_seconds``: bounds of the
+    delay after a failed read; it doubles with each failure and is jittered.
+    ``min_read_interval_seconds``: minimum time between two reads.
     """
 
     __slots__ = (
         'readers_per_failure_domain',
-        'news_timeout',
-        'volunteer_jitter',
-        'start_jitter',
-        'first_retry_delay',
-        'longest_retry_delay',
-        'watch_gap',
+        'max_answer_age_seconds',
+        'fallback_jitter_seconds',
+        'start_jitter_seconds',
+        'min_retry_delay_seconds',
+        'max_retry_delay_seconds',
+        'min_read_interval_seconds',
     )
 
     def __init__(
         self,
         *,
         readers_per_failure_domain: int = 3,
-        news_timeout: float = 60,
-        volunteer_jitter: float = 60,
-        start_jitter: float = 4,
-        first_retry_delay: float = 1,
-        longest_retry_delay: float = 60,
-        watch_gap: float = 1,
+        max_answer_age_seconds: float = 60,
+        fallback_jitter_seconds: float = 60,
+        start_jitter_seconds: float = 4,
+        min_retry_delay_seconds: float = 1,
+        max_retry_delay_seconds: float = 60,
+        min_read_interval_seconds: float = 1,
     ) -> None:
-        """Take every setting by name."""
         self.readers_per_failure_domain = readers_per_failure_domain
-        self.news_timeout = news_timeout
-        self.volunteer_jitter = volunteer_jitter
-        self.start_jitter = start_jitter
-        self.first_retry_delay = first_retry_delay
-        self.longest_retry_delay = longest_retry_delay
-        self.watch_gap = watch_gap
+        self.max_answer_age_seconds = max_answer_age_seconds
+        self.fallback_jitter_seconds = fallback_jitter_seconds
+        self.start_jitter_seconds = start_jitter_seconds
+        self.min_retry_delay_seconds = min_retry_delay_seconds
+        self.max_retry_delay_seconds = max_retry_delay_seconds
+        self.min_read_interval_seconds = min_read_interval_seconds
 
 
 class ReaderElection:
     """Decides when this node reads or watches the platform.
 
-    The readers of a failure domain are the listed nodes whose names hash
-    highest, without those that are silent or leaving. A node needs no word
-    from the others to know whether it is one.
+    The readers of a failure domain are the listed nodes whose names have the
+    highest hashes, except those that are silent or leaving. Each node computes
+    this from its own view, so no coordination is needed.
     """
 
     __slots__ = (
@@ -85,11 +89,11 @@
         '_settings',
         '_candidates',
         '_silent',
-        '_news',
+        '_last_answer',
         '_is_reading',
-        '_read_at',
-        '_failures',
-        '_volunteer_at',
+        '_next_read_at',
+        '_failure_count',
+        '_fallback_read_at',
         '_has_read',
     )
 
@@ -102,7 +106,6 @@
         now: float,
         settings: ElectionSettings | None = None,
     ) -> None:
-        """Read once at the start, after a random delay."""
         settings = settings or ElectionSettings()
         self._own_name = own_name
         self._own_failure_domain = own_failure_domain
@@ -110,55 +113,57 @@
         self._settings = settings
         self._candidates: list[str] = [own_name]
         self._silent: set[str] = set()
-        self._news = PlatformNews()
+        self._last_answer = LastPlatformAnswer()
         self._is_reading = False
         self._has_read = False
-        self._read_at = now + rng.random() * settings.start_jitter
-        self._failures = 0
-        self._volunteer_at: float | None = None
+        self._next_read_at = now + rng.random() * settings.start_jitter_seconds
+        self._failure_count = 0
+        self._fallback_read_at: float | None = None
 
     def platform_answer_age_seconds(self, now: float) -> float:
-        """Return how long ago a reader is known to have had an answer.
+        """Return the age of the last platform answer to any known reader.
 
-        Negative while none is known.
+        Negative if no answer is known.
         """
-        age_ms = self._news.age_ms(now)
+        age_ms = self._last_answer.age_ms(now)
         return -1 if age_ms == AGE_UNKNOWN else age_ms / _MS_PER_SECOND
 
     @property
     def readers(self) -> list[str]:
-        """Return the readers of the failure domain by the own picture."""
+        """Names of the readers in the own failure domain, as seen here."""
         count = self._settings.readers_per_failure_domain
-        present = (one for one in self._candidates if one not in self._silent)
+        present = (
+            name for name in self._candidates if name not in self._silent
+        )
         return list(islice(present, count))
 
     @property
     def is_elected(self) -> bool:
-        """Return whether this node is one of the readers by its own picture."""
+        """Whether this node is one of the readers, as seen here."""
         return self._own_name in self.readers
 
     def handle(self, event: Record, now: float) -> list[Record]:
-        """Take in an event; return a read when one is due."""
-        self._take(event, now)
-        if self._is_reading or now < self._read_at:
+        """Apply an event; return a read of the VM list if one is due."""
+        self._apply(event, now)
+        if self._is_reading or now < self._next_read_at:
             return []
-        if not self._wants_to_read(now):
+        if not self._should_read(now):
             return []
         self._is_reading = True
         return [ReadVmList(is_watch=self._has_read and self.is_elected)]
 
     @singledispatchmethod
-    def _take(self, event: Record, now: float) -> None:
-        """Pass over events that do not matter here."""
+    def _apply(self, event: Record, now: float) -> None:
+        """Ignore events that do not affect the election."""
 
-    @_take.register
+    @_apply.register
     def _on_list_read(self, event: VmListReceived, now: float) -> None:
         self._is_reading = False
         self._has_read = True
-        self._failures = 0
-        self._read_at = now + self._settings.watch_gap
-        self._news.hear(now)
-        self._volunteer_at = None
+        self._failure_count = 0
+        self._next_read_at = now + self._settings.min_read_interval_seconds
+        self._last_answer.record(now)
+        self._fallback_read_at = None
         listed = (
             vm.name
             for vm in event.vm_list.vms
@@ -168,29 +173,29 @@
         self._candidates = self._ranked(listed)
         self._silent.intersection_update(self._candidates)
 
-    @_take.register
+    @_apply.register
     def _on_read_failed(self, event: VmListReadFailed, now: float) -> None:
         self._is_reading = False
         delay = min(
-            self._settings.first_retry_delay * 2**self._failures,
-            self._settings.longest_retry_delay,
+            self._settings.min_retry_delay_seconds * 2**self._failure_count,
+            self._settings.max_retry_delay_seconds,
         )
-        self._failures += 1
-        self._read_at = now + delay * self._rng.uniform(0.5, 1.5)
+        self._failure_count += 1
+        self._next_read_at = now + delay * self._rng.uniform(0.5, 1.5)
 
-    @_take.register
+    @_apply.register
     def _on_bulletin(self, event: BulletinReceived, now: float) -> None:
-        if self._news.hear_age(event.bulletin.news_age_ms, now):
-            self._volunteer_at = None
+        if self._last_answer.record_age(event.bulletin.news_age_ms, now):
+            self._fallback_read_at = None
         for announcement in event.bulletin.announcements:
             self._on_announced(PeerAnnounced(announcement), now)
 
-    @_take.register
+    @_apply.register
     def _on_digest(self, event: DigestReceived, now: float) -> None:
-        if self._news.hear_age(event.digest.news_age_ms, now):
-            self._volunteer_at = None
+        if self._last_answer.record_age(event.digest.news_age_ms, now):
+            self._fallback_read_at = None
 
-    @_take.register
+    @_apply.register
     def _on_announced(self, event: PeerAnnounced, now: float) -> None:
         announcement = event.announcement
         if announcement.failure_domain != self._own_failure_domain:
@@ -203,39 +208,43 @@
         self._silent.discard(announcement.name)
         self._candidates = self._ranked(others)
 
-    @_take.register
+    @_apply.register
     def _on_silent(self, event: PeerSilent, now: float) -> None:
         if event.name in self._candidates:
             self._silent.add(event.name)
 
-    @_take.register
+    @_apply.register
     def _on_answered(self, event: PeerAnswered, now: float) -> None:
         self._silent.discard(event.name)
 
-    @_take.register
+    @_apply.register
     def _on_pause(self, event: PauseEnded, now: float) -> None:
         self._silent.clear()
         self._is_reading = False
         self._has_read = False
-        self._read_at = now + self._rng.random() * self._settings.start_jitter
+        self._next_read_at = (
+            now + self._rng.random() * self._settings.start_jitter_seconds
+        )
 
-    def _wants_to_read(self, now: float) -> bool:
+    def _should_read(self, now: float) -> bool:
         if not self._has_read or self.is_elected:
             return True
-        age_ms = self._news.age_ms(now)
-        if age_ms < self._settings.news_timeout * _MS_PER_SECOND:
+        age_ms = self._last_answer.age_ms(now)
+        if age_ms < self._settings.max_answer_age_seconds * _MS_PER_SECOND:
             return False
-        if self._volunteer_at is None:
-            jitter = self._rng.random() * self._settings.volunteer_jitter
-            self._volunteer_at = now + jitter
-        return now >= self._volunteer_at
+        if self._fallback_read_at is None:
+            jitter = self._rng.random() * self._settings.fallback_jitter_seconds
+            self._fallback_read_at = now + jitter
+        return now >= self._fallback_read_at
 
     def _ranked(self, names: Iterable[str]) -> list[str]:
-        kept = self._settings.readers_per_failure_domain + _SPARE_CANDIDATES
+        max_candidates = (
+            self._settings.readers_per_failure_domain + _MAX_SPARE_CANDIDATES
+        )
         unique = {*names, self._own_name}
-        ranked = sorted(unique, key=_weight, reverse=True)
-        return ranked[:kept]
+        ranked = sorted(unique, key=_name_hash, reverse=True)
+        return ranked[:max_candidates]
 
 
-def _weight(name: str) -> int:
+def _name_hash(name: str) -> int:
     return xxh3_64_intdigest(name.encode())
--- a/src/lovageshunt/membership/_epochs.py
+++ b/src/lovageshunt/membership/_epochs.py
@@ -1,4 +1,4 @@
-"""Noticing that the process was paused, before its next decision."""
+"""Detect pauses of the process before the next decision is dispatched."""
 
 from typing import Generic, TypeVar
 
@@ -13,21 +13,19 @@
     __slots__ = ('inputs', 'epoch')
 
     def __init__(self, inputs: _InputsT, epoch: int) -> None:
-        """Stamp the inputs."""
         self.inputs = inputs
         self.epoch = epoch
 
 
 class EpochClock:
-    """Counts the pauses of this process.
+    """Counts the pauses of this process; each one starts a new epoch.
 
-    The clock that it is told must count suspension. A gap between two
-    observations that is longer than ``tick_seconds`` and ``slack_seconds``
-    together can only be a pause, because the timer turns every
-    ``tick_seconds``.
+    The ``now`` values must come from a clock that counts time in suspension.
+    The timer fires every ``tick_seconds``, so a gap between two observations
+    of more than ``tick_seconds`` plus ``slack_seconds`` means a pause.
     """
 
-    __slots__ = ('epoch', '_longest_gap', '_last_seen')
+    __slots__ = ('epoch', '_max_gap_seconds', '_last_observed_at')
 
     def __init__(
         self,
@@ -36,32 +34,31 @@
         tick_seconds: float,
         slack_seconds: float,
     ) -> None:
-        """Begin epoch 0 at ``now``."""
         self.epoch = 0
-        self._longest_gap = tick_seconds + slack_seconds
-        self._last_seen = now
+        self._max_gap_seconds = tick_seconds + slack_seconds
+        self._last_observed_at = now
 
     def observe(self, now: float) -> bool:
-        """Return whether a pause ended since the last observation.
+        """Return whether the process was paused since the last observation.
 
-        To be called at each turn of the timer, at the start of each decision
-        and again right before its dispatch.
+        Call it on each timer tick, at the start of each decision and again
+        immediately before its dispatch.
         """
-        gap = now - self._last_seen
-        self._last_seen = max(now, self._last_seen)
-        if gap <= self._longest_gap:
+        gap = now - self._last_observed_at
+        self._last_observed_at = max(now, self._last_observed_at)
+        if gap <= self._max_gap_seconds:
             return False
         self.epoch += 1
         return True
 
     def stamp(self, inputs: _InputsT) -> StampedInputs[_InputsT]:
-        """Return the inputs stamped with the present epoch."""
+        """Return the inputs stamped with the current epoch."""
         return StampedInputs(inputs, self.epoch)
 
     def require(self, epoch: int, now: float) -> None:
-        """Check right before dispatch that no pause came in between.
+        """Check immediately before dispatch that no pause has occurred.
 
-        Raises ``StalePictureError`` when the inputs were read before a pause.
+        Raises ``StalePictureError`` if the inputs were read before a pause.
         """
         self.observe(now)
         if epoch != self.epoch:
--- a/src/lovageshunt/membership/_events.py
+++ b/src/lovageshunt/membership/_events.py
@@ -1,4 +1,4 @@
-"""What a view of the members is told."""
+"""The events that membership decisions handle."""
 
 from lovageshunt._record import Record
 from lovageshunt.membership._messages import (
@@ -11,12 +11,11 @@
 
 
 class VmListReceived(Record):
-    """This node read the platform's list."""
+    """This node received the platform's VM list."""
 
     __slots__ = ('vm_list',)
 
     def __init__(self, vm_list: VmList) -> None:
-        """Take the list."""
         self.vm_list = vm_list
 
 
@@ -27,50 +26,46 @@
 
 
 class VmListChangeReceived(Record):
-    """A peer passed on what a reader saw change in the platform's list."""
+    """A peer forwarded a change of the VM list that a reader saw."""
 
-    __slots__ = ('news',)
+    __slots__ = ('change',)
 
-    def __init__(self, news: VmListChange) -> None:
-        """Take the news."""
-        self.news = news
+    def __init__(self, change: VmListChange) -> None:
+        self.change = change
 
 
 class PeerAnnounced(Record):
-    """A node's word about itself arrived, from it or passed on by a peer."""
+    """A node's announcement arrived, directly or forwarded by a peer."""
 
     __slots__ = ('announcement',)
 
     def __init__(self, announcement: Announcement) -> None:
-        """Take the announcement."""
         self.announcement = announcement
 
 
 class BulletinReceived(Record):
-    """A peer's bulletin arrived, of itself or in answer to a digest."""
+    """A bulletin arrived from a peer, unsolicited or in reply to a digest."""
 
     __slots__ = ('bulletin',)
 
     def __init__(self, bulletin: Bulletin) -> None:
-        """Take the bulletin."""
         self.bulletin = bulletin
 
 
 class PeerSilent(Record):
-    """A call, an exchange or a probe to a peer had no answer in time."""
+    """A call, an exchange or a probe to ``name`` was not answered in time."""
 
     __slots__ = ('name',)
 
     def __init__(self, name: str) -> None:
-        """Name the peer."""
         self.name = name
 
 
 class PeerAnswered(Record):
     """A peer answered a call, an exchange or a probe.
 
-    ``incarnation`` is empty when the answer did not tell it. ``is_leaving``
-    holds when the peer refused because it is leaving.
+    ``incarnation`` is empty if the answer did not contain it. ``is_leaving``:
+    the peer refused because it is leaving.
     """
 
     __slots__ = ('name', 'incarnation', 'is_leaving')
@@ -82,7 +77,6 @@
         *,
         is_leaving: bool = False,
     ) -> None:
-        """Name the peer and the incarnation that answered."""
         self.name = name
         self.incarnation = incarnation
         self.is_leaving = is_leaving
@@ -94,23 +88,22 @@
     __slots__ = ('digest',)
 
     def __init__(self, digest: MembershipDigest) -> None:
-        """Take the digest."""
         self.digest = digest
 
 
 class MembershipTicked(Record):
-    """The timer turned; a few times a second."""
+    """The timer fired; it does so a few times per second."""
 
     __slots__ = ()
 
 
 class LeaveStarted(Record):
-    """This node began to leave."""
+    """This node started to leave."""
 
     __slots__ = ()
 
 
 class PauseEnded(Record):
-    """The process was paused and what it saw before may have changed."""
+    """The process was paused; what it observed before may be outdated."""
 
     __slots__ = ()
--- a/src/lovageshunt/membership/_gossip.py
+++ b/src/lovageshunt/membership/_gossip.py
@@ -1,4 +1,4 @@
-"""What a node tells its peers, within its budget of bytes."""
+"""Exchange of membership messages with peers, within a byte budget."""
 
 from collections.abc import Sequence
 from random import Random
@@ -11,8 +11,13 @@
     SendDigest,
     peer_of,
 )
-from lovageshunt.membership._contacts import Contacts
-from lovageshunt.membership._facts import Facts
+from lovageshunt.membership._announcement_store import AnnouncementStore
+from lovageshunt.membership._gossip_queue import (
+    ENVELOPE_BYTES,
+    ByteBudget,
+    GossipItem,
+    GossipQueue,
+)
 from lovageshunt.membership._messages import (
     Announcement,
     Bulletin,
@@ -20,102 +25,106 @@
     VmListChange,
     wire_bytes,
 )
-from lovageshunt.membership._news import PlatformNews
-from lovageshunt.membership._outbox import (
-    ENVELOPE_BYTES,
-    ByteBudget,
-    News,
-    Outbox,
-)
+from lovageshunt.membership._peer_sample import PeerSample
+from lovageshunt.membership._platform_answer import LastPlatformAnswer
 from lovageshunt.membership._services import ServiceIndex
 from lovageshunt.membership._settings import MembershipSettings
 
-#: How many services are compared in answer to one digest.
-_MOST_COMPARED: Final = 2
+#: Services compared per received digest; bounds the size of the reply.
+_MAX_COMPARED_SERVICES: Final = 2
 
 
 class Gossip:
-    """Rumours told at once to a few peers, and digests now and then."""
+    """Sends updates to a few peers at once and digests periodically.
+
+    Updates are best effort; digests let peers find and repair what was lost.
+    """
 
     __slots__ = (
-        'facts',
-        'contacts',
+        'announcement_store',
+        'peer_sample',
         '_services',
         '_settings',
         '_rng',
-        '_outbox',
+        '_queue',
         '_budget',
-        '_digest_at',
-        'news',
+        '_next_digest_at',
+        'last_answer',
     )
 
     def __init__(
         self,
         services: frozenset[str],
-        contacts: Contacts,
+        peer_sample: PeerSample,
         settings: MembershipSettings,
         rng: Random,
         now: float,
     ) -> None:
-        """Have nothing to tell."""
-        self.facts = Facts(settings.departed_horizon)
-        self.news = PlatformNews()
-        self.contacts = contacts
+        self.announcement_store = AnnouncementStore(
+            settings.departed_retention_seconds
+        )
+        self.last_answer = LastPlatformAnswer()
+        self.peer_sample = peer_sample
         self._services = services
         self._settings = settings
         self._rng = rng
-        self._outbox = Outbox(settings.rumour_lifetime)
+        self._queue = GossipQueue(settings.gossip_lifetime_seconds)
         self._budget = ByteBudget(
             settings.bytes_per_second,
             settings.burst_bytes,
             now,
         )
-        self._digest_at = now + rng.random() * settings.exchange_period
+        self._next_digest_at = (
+            now + rng.random() * settings.mean_digest_interval_seconds
+        )
 
-    def learn(self, announcement: Announcement, now: float) -> bool:
-        """Take in an announcement; pass it on if it is news."""
-        if not self.facts.learn(announcement, now):
+    def add_announcement(self, announcement: Announcement, now: float) -> bool:
+        """Store an announcement; queue it for peers and return true if new."""
+        if not self.announcement_store.add(announcement, now):
             return False
-        self._outbox.put(announcement, now)
+        self._queue.put(announcement, now)
         return True
 
-    def pass_on(self, news: VmListChange, now: float) -> None:
-        """Tell peers what changed in the platform's list."""
-        self._outbox.put(news, now)
+    def queue_change(self, change: VmListChange, now: float) -> None:
+        """Queue a change of the platform's VM list for peers."""
+        self._queue.put(change, now)
 
-    def warning_of(self, news: VmListChange, now: float) -> SendBulletin:
-        """Return word to a VM that is listed as leaving.
+    def leave_notice(self, change: VmListChange, now: float) -> SendBulletin:
+        """Return a notice to a VM that is listed as leaving.
 
-        It may not know yet, and refuses calls as soon as it does, which
-        spares those that have not heard. So it is told at once, whatever is
-        left of the budget.
+        The VM may not know yet and refuses calls as soon as it does, which
+        protects callers that have not heard. So the notice is sent at once,
+        even if the byte budget is exhausted.
         """
-        bulletin = self._bulletin([news], now)
+        bulletin = self._bulletin([change], now)
         self._budget.spend(_sent_bytes(bulletin))
-        return SendBulletin(peer_of(news), bulletin)
+        return SendBulletin(peer_of(change), bulletin)
 
-    def tell(self, fanout: int, now: float) -> list[SendBulletin]:
-        """Return the waiting news for a few peers, as far as it fits."""
-        peers = self.contacts.draw(fanout) if self._outbox else []
+    def send_queued(self, fanout: int, now: float) -> list[SendBulletin]:
+        """Return queued updates for up to ``fanout`` peers, within budget."""
+        peers = self.peer_sample.draw(fanout) if self._queue else []
         if not peers:
             return []
-        news = self._outbox.take(
-            self._budget.left(now) / len(peers),
+        items = self._queue.pop_fitting(
+            self._budget.available(now) / len(peers),
             self._budget.unreserved(now) / len(peers),
             now,
         )
-        if not news:
+        if not items:
             return []
-        bulletin = self._bulletin(news, now)
+        bulletin = self._bulletin(items, now)
         self._budget.spend(len(peers) * _sent_bytes(bulletin))
         return [SendBulletin(peer, bulletin) for peer in peers]
 
     def is_digest_due(self, now: float) -> bool:
-        """Return whether a digest is to be sent, and set the next time."""
-        if now < self._digest_at:
+        """Return whether a digest is due; if so, schedule the next one."""
+        if now < self._next_digest_at:
             return False
-        pause = self._settings.exchange_period * self._rng.uniform(0.5, 1.5)
-        self._digest_at = now + pause
+        interval = (
+            self._settings.mean_digest_interval_seconds
+            * self._rng.uniform(0.5, 1.5)
+        )
+        self._next_digest_at = now + interval
         return True
 
     def digest(
@@ -124,12 +133,12 @@
         index: ServiceIndex,
         now: float,
     ) -> list[SendDigest]:
-        """Return a digest for one peer, if it fits.
+        """Return a digest for one peer, if it fits the budget.
 
-        Half of them go to peers of the own service, which need the same
-        services, and the others to any peer.
+        Half of the digests go to peers of the own service, which follow the
+        same services, the rest to any peer.
         """
-        peers = self.contacts.draw(1)
+        peers = self.peer_sample.draw(1)
         members = index.members_of(own.service)
         if members and (not peers or self._rng.random() < 1 / 2):
             peers = [peer_of(self._rng.choice(members))]
@@ -137,14 +146,14 @@
             sender=own.name,
             address=own.admin_address or own.address,
             digest_by_service={
-                service: self.facts.digest_of(service, now)
+                service: self.announcement_store.digest_of(service, now)
                 for service in sorted(self._services)
             },
-            news_age_ms=self.news.age_ms(now),
+            news_age_ms=self.last_answer.age_ms(now),
         )
-        return self._sent(peers[0], digest, now) if peers else []
+        return self._if_within_budget(peers[0], digest, now) if peers else []
 
-    def answer(
+    def answer_digest(
         self,
         digest: MembershipDigest,
         own: Announcement,
@@ -152,36 +161,38 @@
     ) -> list[Record]:
         """Return what the sender of a digest lacks, and what is held here.
 
-        Where a digest differs, the sender is told what is held here, answers
-        with exactly what is missing and tells in turn what it holds.
+        Where digests differ, the reply lists the fingerprints held here. The
+        sender answers with exactly what is missing and lists its own.
         """
         peer = Peer(
             name=digest.sender,
             address=digest.address,
             failure_domain='',
         )
-        is_later = self.news.is_later_than(digest.news_age_ms, now)
-        self.news.hear_age(digest.news_age_ms, now)
+        is_more_recent = self.last_answer.is_more_recent_than(
+            digest.news_age_ms, now
+        )
+        self.last_answer.record_age(digest.news_age_ms, now)
         held_by_service = self._differing(digest, now)
-        actions: list[Record] = list(self._missing(peer, digest, now))
-        if held_by_service or is_later:
+        actions: list[Record] = list(self._missing_for(peer, digest, now))
+        if held_by_service or is_more_recent:
             reply = MembershipDigest(
                 sender=own.name,
                 address=own.admin_address or own.address,
                 digest_by_service={
-                    service: self.facts.digest_of(service, now)
+                    service: self.announcement_store.digest_of(service, now)
                     for service in held_by_service
                     if not digest.held_by_service
                 },
                 held_by_service=held_by_service,
-                news_age_ms=self.news.age_ms(now),
+                news_age_ms=self.last_answer.age_ms(now),
             )
-            actions.extend(self._sent(peer, reply, now))
+            actions.extend(self._if_within_budget(peer, reply, now))
         return actions
 
     def expire(self, now: float, kept: set[str]) -> None:
-        """Forget old leaves, and nodes that are not to be kept."""
-        self.facts.expire(now, kept)
+        """Delete old leaves, and old announcements of nodes not in ``kept``."""
+        self.announcement_store.expire(now, kept)
 
     def _differing(
         self,
@@ -192,15 +203,15 @@
             service
             for service, theirs in digest.digest_by_service.items()
             if service in self._services
-            and self.facts.digest_of(service, now) != theirs
+            and self.announcement_store.digest_of(service, now) != theirs
         ]
-        count = min(len(differing), _MOST_COMPARED)
+        count = min(len(differing), _MAX_COMPARED_SERVICES)
         return {
-            service: self.facts.held_of(service, now)
+            service: self.announcement_store.fingerprints_of(service, now)
             for service in self._rng.sample(differing, count)
         }
 
-    def _missing(
+    def _missing_for(
         self,
         peer: Peer,
         digest: MembershipDigest,
@@ -208,8 +219,10 @@
     ) -> list[SendBulletin]:
         missing: list[Announcement] = []
         for service, held in digest.held_by_service.items():
-            missing.extend(self.facts.missing(service, frozenset(held), now))
-        missing.sort(key=_age_of)
+            missing.extend(
+                self.announcement_store.missing(service, frozenset(held), now)
+            )
+        missing.sort(key=_age_ms_of)
         fitting = self._fitting(missing, now)
         if not fitting:
             return []
@@ -217,33 +230,33 @@
         self._budget.spend(_sent_bytes(bulletin))
         return [SendBulletin(peer, bulletin)]
 
-    def _sent(
+    def _if_within_budget(
         self,
         peer: Peer,
         digest: MembershipDigest,
         now: float,
     ) -> list[SendDigest]:
-        size = _sent_bytes(digest)
-        if self._budget.unreserved(now) < size:
+        digest_bytes = _sent_bytes(digest)
+        if self._budget.unreserved(now) < digest_bytes:
             return []
-        self._budget.spend(size)
+        self._budget.spend(digest_bytes)
         return [SendDigest(peer, digest)]
 
     def _bulletin(
         self,
-        news: Sequence[News],
+        items: Sequence[GossipItem],
         now: float,
     ) -> Bulletin:
         announcements = [
-            self.facts.told(one.name, now) or one
-            for one in news
-            if isinstance(one, Announcement)
+            self.announcement_store.get_aged(item.name, now) or item
+            for item in items
+            if isinstance(item, Announcement)
         ]
-        list_news = [one for one in news if isinstance(one, VmListChange)]
+        changes = [item for item in items if isinstance(item, VmListChange)]
         return Bulletin(
             announcements=announcements,
-            list_news=list_news,
-            news_age_ms=self.news.age_ms(now),
+            list_news=changes,
+            news_age_ms=self.last_answer.age_ms(now),
         )
 
     def _fitting(
@@ -251,18 +264,18 @@
         announcements: list[Announcement],
         now: float,
     ) -> list[Announcement]:
-        left = self._budget.unreserved(now)
-        size = ENVELOPE_BYTES
+        available_bytes = self._budget.unreserved(now)
+        used_bytes = ENVELOPE_BYTES
         fitting = []
         for announcement in announcements:
-            size += wire_bytes(announcement) + 1
-            if size > left:
+            used_bytes += wire_bytes(announcement) + 1
+            if used_bytes > available_bytes:
                 break
             fitting.append(announcement)
         return fitting
 
 
-def _age_of(announcement: Announcement) -> int:
+def _age_ms_of(announcement: Announcement) -> int:
     return announcement.age_ms
 
 
--- a/src/lovageshunt/membership/_member.py
+++ b/src/lovageshunt/membership/_member.py
@@ -2,16 +2,16 @@
 
 from typing import Unpack
 
-from lovageshunt.membership._vms import VmFactFields, VmFacts
+from lovageshunt.membership._vms import VmAttributeFields, VmAttributes
 
 
-class Member(VmFacts):
-    """A VM that a call may be sent to, or lately could.
+class Member(VmAttributes):
+    """A VM that calls may be sent to, or could be until recently.
 
-    ``incarnation`` is empty until the node itself was heard. ``is_suspect``
-    lowers the preference and forbids nothing. ``last_heard`` is in seconds on
-    the view's clock and negative when the node was never heard. The view
-    keeps these fields up to date in place.
+    ``incarnation`` is empty until the node itself was heard from.
+    ``is_suspect`` lowers the preference but excludes nothing. ``last_heard`` is
+    in seconds on the view's clock, negative if the node was never heard from.
+    The view updates these fields in place.
     """
 
     __slots__ = (
@@ -28,10 +28,9 @@
         is_leaving: bool = False,
         is_suspect: bool = False,
         last_heard: float = -1.0,
-        **facts: Unpack[VmFactFields],
+        **attributes: Unpack[VmAttributeFields],
     ) -> None:
-        """Take every field by name; the defaults suit a VM never heard."""
-        super().__init__(**facts)
+        super().__init__(**attributes)
         self.incarnation = incarnation
         self.is_leaving = is_leaving
         self.is_suspect = is_suspect
--- a/src/lovageshunt/membership/_messages.py
+++ b/src/lovageshunt/membership/_messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other about members, and its checked decoding."""
+"""Messages that nodes exchange about members, and their validated decoding."""
 
 from typing import Any, Final, Self, TypeVar, Unpack
 
@@ -6,25 +6,26 @@
 
 from lovageshunt._record import Record
 from lovageshunt.errors import MalformedMembershipError
-from lovageshunt.membership._news import AGE_UNKNOWN
-from lovageshunt.membership._vms import VmFactFields, VmFacts, VmState
+from lovageshunt.membership._platform_answer import AGE_UNKNOWN
+from lovageshunt.membership._vms import VmAttributeFields, VmAttributes, VmState
 
-#: No count of milliseconds on the wire may be larger.
+#: Upper bound of any number of milliseconds in a message.
 _MAX_MS: Final = 2**31
-#: No revision of the platform may be larger.
+#: Upper bound of a platform revision.
 _MAX_REVISION: Final = 2**63
-#: A fingerprint has this many values at most.
+#: Upper bound of a fingerprint, which has 32 bits.
 _MAX_FINGERPRINT: Final = 2**32
-_LONGEST_TEXT: Final = 256
+#: Upper bound of the length of a text field, in characters.
+_MAX_TEXT_LENGTH: Final = 256
 
 _MessageT = TypeVar('_MessageT')
 
 
-class Announcement(VmFacts):
-    """A node's own word about itself; nobody else makes one.
+class Announcement(VmAttributes):
+    """What a node states about itself; no other node creates one.
 
-    ``incarnation`` sorts by the time at which the node started. ``age_ms``
-    is the time since the node said it, added up by each who passes it on.
+    ``incarnation`` sorts by the start time of the node. ``age_ms`` is the time
+    since the node created it, updated by each node that forwards it.
     """
 
     __slots__ = (
@@ -39,31 +40,29 @@
         incarnation: str,
         is_leaving: bool = False,
         age_ms: int = 0,
-        **facts: Unpack[VmFactFields],
+        **attributes: Unpack[VmAttributeFields],
     ) -> None:
-        """Take every field by name."""
-        super().__init__(**facts)
+        super().__init__(**attributes)
         self.incarnation = incarnation
         self.is_leaving = is_leaving
         self.age_ms = age_ms
 
     @classmethod
     def from_fields(cls, fields: object) -> Self:
-        """Decode an announcement; raises ``MalformedMembershipError``."""
-        known = _checked_fields(cls, fields)
-        _check_texts(known, *VmFacts.__slots__, 'incarnation')
+        """Decode an announcement; raise ``MalformedMembershipError``."""
+        known = _known_fields(cls, fields)
+        _check_texts(known, *VmAttributes.__slots__, 'incarnation')
         _check_count(known, 'age_ms', _MAX_MS)
         if not isinstance(known.get('is_leaving', False), bool):
-            raise MalformedMembershipError(
-                'is_leaving is neither true nor false'
-            )
-        return _made(cls, known)
+            raise MalformedMembershipError('is_leaving is not a boolean')
+        return _construct(cls, known)
 
 
-class VmListChange(VmFacts):
-    """What a reader of the platform saw change in its list.
+class VmListChange(VmAttributes):
+    """A change of the VM list that a reader of the platform saw.
 
-    ``state`` is ``GONE`` when the list names the VM no longer.
+    ``state`` is ``GONE`` if the list no longer contains the VM. ``revision`` is
+    that of the list, ``age_ms`` the time since the change was seen.
     """
 
     __slots__ = (
@@ -78,33 +77,32 @@
         state: VmState,
         revision: int,
         age_ms: int = 0,
-        **facts: Unpack[VmFactFields],
+        **attributes: Unpack[VmAttributeFields],
     ) -> None:
-        """Take every field by name."""
-        super().__init__(**facts)
+        super().__init__(**attributes)
         self.state = state
         self.revision = revision
         self.age_ms = age_ms
 
     @classmethod
     def from_fields(cls, fields: object) -> Self:
-        """Decode news of the list; raises ``MalformedMembershipError``."""
-        known = _checked_fields(cls, fields)
-        _check_texts(known, *VmFacts.__slots__)
+        """Decode a list change; raise ``MalformedMembershipError``."""
+        known = _known_fields(cls, fields)
+        _check_texts(known, *VmAttributes.__slots__)
         _check_count(known, 'age_ms', _MAX_MS)
         _check_count(known, 'revision', _MAX_REVISION)
         try:
             known['state'] = VmState(known.get('state', ''))
         except ValueError as error:
             raise MalformedMembershipError(str(error)) from error
-        return _made(cls, known)
+        return _construct(cls, known)
 
 
 class Bulletin(Record):
-    """What one node tells another: announcements and news of the list.
+    """Announcements and list changes sent by one node to another.
 
-    ``news_age_ms`` is how long ago the platform had last answered a reader
-    of whom the sender heard, or ``AGE_UNKNOWN``.
+    ``news_age_ms`` is the time since the platform last answered any reader
+    known to the sender, or ``AGE_UNKNOWN``.
     """
 
     __slots__ = ('announcements', 'list_news', 'news_age_ms')
@@ -116,13 +114,12 @@
         list_news: list[VmListChange],
         news_age_ms: int = AGE_UNKNOWN,
     ) -> None:
-        """Take every field by name."""
         self.announcements = announcements
         self.list_news = list_news
         self.news_age_ms = news_age_ms
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the fields by name, for a codec at the border."""
+        """Return the fields by name, nested messages included, for a codec."""
         return {
             'announcements': [one.as_dict() for one in self.announcements],
             'list_news': [one.as_dict() for one in self.list_news],
@@ -131,39 +128,39 @@
 
     @classmethod
     def from_fields(cls, fields: object) -> Self:
-        """Decode a bulletin; raises ``MalformedMembershipError``."""
-        known = _checked_fields(cls, fields)
+        """Decode a bulletin; raise ``MalformedMembershipError``."""
+        known = _known_fields(cls, fields)
         _check_news_age(known)
         return cls(
             announcements=[
                 Announcement.from_fields(one)
-                for one in _listed(known, 'announcements')
+                for one in _list_field(known, 'announcements')
             ],
             list_news=[
                 VmListChange.from_fields(one)
-                for one in _listed(known, 'list_news')
+                for one in _list_field(known, 'list_news')
             ],
             news_age_ms=known.get('news_age_ms', AGE_UNKNOWN),
         )
 
 
 class ServiceDigest(Record):
-    """How many announcements of a service a node holds, and a hash of them."""
+    """The number of announcements a node holds of a service, and their hash."""
 
     __slots__ = ('count', 'fingerprint')
 
     def __init__(self, count: int, fingerprint: int) -> None:
-        """Take both numbers."""
         self.count = count
         self.fingerprint = fingerprint
 
 
 class MembershipDigest(Record):
-    """What a node holds, short enough to send to a peer every few seconds.
+    """A summary of what a node holds, small enough to send every few seconds.
 
-    ``digest_by_service`` covers the announcements that it holds of each
-    service. ``held_by_service`` lists their fingerprints for services whose
-    digests were found to differ. ``news_age_ms`` is that of a bulletin.
+    ``address`` is the exchange address of the sender. ``digest_by_service``
+    covers the announcements held for each service. ``held_by_service`` lists
+    their fingerprints for services whose digests differed. ``news_age_ms`` is
+    as in ``Bulletin``.
     """
 
     __slots__ = (
@@ -183,7 +180,6 @@
         held_by_service: dict[str, list[int]] | None = None,
         news_age_ms: int = AGE_UNKNOWN,
     ) -> None:
-        """Take every field by name."""
         self.sender = sender
         self.address = address
         self.digest_by_service = digest_by_service or {}
@@ -191,7 +187,7 @@
         self.news_age_ms = news_age_ms
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the fields by name, for a codec at the border."""
+        """Return the fields by name, digests as pairs, for a codec."""
         pair_by_service = {
             service: (digest.count, digest.fingerprint)
             for service, digest in self.digest_by_service.items()
@@ -200,63 +196,70 @@
 
     @classmethod
     def from_fields(cls, fields: object) -> Self:
-        """Decode a digest; raises ``MalformedMembershipError``."""
-        known = _checked_fields(cls, fields)
+        """Decode a digest; raise ``MalformedMembershipError``."""
+        known = _known_fields(cls, fields)
         _check_texts(known, 'sender', 'address')
         _check_news_age(known)
         known['digest_by_service'] = {
             service: ServiceDigest(*_fingerprints(pair, exactly=2))
-            for service, pair in _mapped(known, 'digest_by_service').items()
+            for service, pair in _object_field(
+                known, 'digest_by_service'
+            ).items()
         }
         known['held_by_service'] = {
             service: _fingerprints(held)
-            for service, held in _mapped(known, 'held_by_service').items()
+            for service, held in _object_field(known, 'held_by_service').items()
         }
-        return _made(cls, known)
+        return _construct(cls, known)
 
 
 def wire_bytes(message: Record) -> int:
-    """Return how many bytes a message takes as compact JSON."""
+    """Return the size of a message as compact JSON, in bytes."""
     return len(orjson.dumps(message.as_dict()))
 
 
-def _checked_fields(kind: type[Record], fields: object) -> dict[str, Any]:
+def _known_fields(kind: type[Record], fields: object) -> dict[str, Any]:
     if not isinstance(fields, dict):
-        raise MalformedMembershipError('no JSON object')
+        raise MalformedMembershipError('the message is not a JSON object')
     names = kind._field_names()
-    # Fields of later versions are passed over.
+    # Ignore unknown fields: newer versions may send more.
     return {name: fields[name] for name in names if name in fields}
 
 
 def _check_texts(fields: dict[str, Any], *names: str) -> None:
     for name in names:
         text = fields.get(name, '')
-        if not isinstance(text, str) or len(text) > _LONGEST_TEXT:
+        if not isinstance(text, str) or len(text) > _MAX_TEXT_LENGTH:
             raise MalformedMembershipError(
-                f'{name} is no text of at most {_LONGEST_TEXT} characters',
+                f'{name} is not a string of at most {_MAX_TEXT_LENGTH} '
+                'characters',
             )
 
 
-def _check_count(fields: dict[str, Any], name: str, most: int) -> None:
+def _check_count(fields: dict[str, Any], name: str, maximum: int) -> None:
     count = fields.get(name, 0)
     if isinstance(count, bool) or not isinstance(count, int):
-        raise MalformedMembershipError(f'{name} is no whole number')
-    if not 0 <= count <= most:
-        raise MalformedMembershipError(f'{name} is out of range')
+        raise MalformedMembershipError(f'{name} is not an integer')
+    if not 0 <= count <= maximum:
+        raise MalformedMembershipError(
+            f'{name} is {count}, not within 0 to {maximum}'
+        )
 
 
-def _mapped(fields: dict[str, Any], name: str) -> dict[str, object]:
+def _object_field(fields: dict[str, Any], name: str) -> dict[str, object]:
     mapped = fields.get(name, {})
     if not isinstance(mapped, dict):
-        raise MalformedMembershipError(f'{name} is no object')
+        raise MalformedMembershipError(f'{name} is not a JSON object')
     return mapped
 
 
 def _fingerprints(listed: object, *, exactly: int | None = None) -> list[int]:
     if not isinstance(listed, list):
-        raise MalformedMembershipError('a service has no list of numbers')
+        raise MalformedMembershipError('the entry of a service is not a list')
     if exactly not in {None, len(listed)}:
-        raise MalformedMembershipError(f'a service has not {exactly} numbers')
+        raise MalformedMembershipError(
+            f'the entry of a service has {len(listed)} numbers, not {exactly}'
+        )
     for fingerprint in listed:
         _check_count({'number': fingerprint}, 'number', _MAX_FINGERPRINT)
     return listed
@@ -267,14 +270,14 @@
         _check_count(fields, 'news_age_ms', _MAX_MS)
 
 
-def _listed(fields: dict[str, Any], name: str) -> list[object]:
+def _list_field(fields: dict[str, Any], name: str) -> list[object]:
     listed = fields.get(name, [])
     if not isinstance(listed, list):
-        raise MalformedMembershipError(f'{name} is no list')
+        raise MalformedMembershipError(f'{name} is not a list')
     return listed
 
 
-def _made(kind: type[_MessageT], fields: dict[str, Any]) -> _MessageT:
+def _construct(kind: type[_MessageT], fields: dict[str, Any]) -> _MessageT:
     try:
         return kind(**fields)
     except TypeError as error:
--- a/src/lovageshunt/membership/_services.py
+++ b/src/lovageshunt/membership/_services.py
@@ -1,22 +1,22 @@
-"""Which tracked VMs each needed service has, and which of them get calls."""
+"""The tracked VMs of each service, and which of them may receive calls."""
 
 from typing import Final
 
 from lovageshunt.membership._member import Member
-from lovageshunt.membership._tracked import Tracked
+from lovageshunt.membership._tracked_vm import TrackedVm
 
-#: When more than this share of a service looks silent, the picture is wrong.
-_TRUSTED_SHARE: Final = 0.5
+#: If a larger share of a service seems silent, this node's connection is the
+#: likelier fault, and no member is suspected.
+_MAX_SUSPECT_SHARE: Final = 0.5
 
 
 class ServiceIndex:
-    """Tracked VMs by service, with the members to offer kept ready."""
+    """Tracked VMs by service, with a cached list of the members to offer."""
 
     __slots__ = ('_tracked_by_service', '_offered_by_service', '_changed')
 
     def __init__(self, services: frozenset[str]) -> None:
-        """Hold no VM of any service."""
-        self._tracked_by_service: dict[str, dict[str, Tracked]] = {
+        self._tracked_by_service: dict[str, dict[str, TrackedVm]] = {
             service: {} for service in services
         }
         self._offered_by_service: dict[str, list[Member]] = {}
@@ -24,29 +24,27 @@
 
     @property
     def services(self) -> frozenset[str]:
-        """Return the services whose members are kept."""
+        """The services whose members are followed."""
         return frozenset(self._tracked_by_service)
 
-    def add(self, tracked: Tracked) -> None:
-        """Place a VM under its service."""
+    def add(self, tracked: TrackedVm) -> None:
         service = tracked.member.service
         by_name = self._tracked_by_service.setdefault(service, {})
         by_name[tracked.member.name] = tracked
-        self.touch(service)
+        self.refresh(service)
 
-    def remove(self, tracked: Tracked) -> None:
-        """Take a VM from its service."""
+    def remove(self, tracked: TrackedVm) -> None:
         service = tracked.member.service
         self._tracked_by_service[service].pop(tracked.member.name, None)
-        self.touch(service)
+        self.refresh(service)
 
-    def tracked_of(self, service: str) -> list[Tracked]:
-        """Return the VMs of a service in the order of their names."""
+    def tracked_of(self, service: str) -> list[TrackedVm]:
+        """Return the VMs of a service, sorted by name."""
         by_name = self._tracked_by_service.get(service, {})
         return [by_name[name] for name in sorted(by_name)]
 
     def members_of(self, service: str) -> list[Member]:
-        """Return the members that may get new calls."""
+        """Return the members that may receive new calls."""
         offered = self._offered_by_service.get(service)
         if offered is None:
             offered = [
@@ -57,8 +55,8 @@
             self._offered_by_service[service] = offered
         return offered
 
-    def touch(self, service: str) -> None:
-        """Bring the members of a service up to date with their lives."""
+    def refresh(self, service: str) -> None:
+        """Recompute the state of the members after a change of their VMs."""
         self._changed.add(service)
         self._offered_by_service.pop(service, None)
         tracked_of_service = self._tracked_by_service[service].values()
@@ -67,20 +65,20 @@
             tracked.member.is_leaving = tracked.is_leaving
             if not tracked.is_leaving:
                 offered.append(tracked)
-        silent_count = sum(one.seems_silent for one in offered)
-        is_trusted = silent_count <= len(offered) * _TRUSTED_SHARE
+        silent_count = sum(vm.is_silent for vm in offered)
+        is_plausible = silent_count <= len(offered) * _MAX_SUSPECT_SHARE
         for candidate in offered:
-            candidate.member.is_suspect = is_trusted and candidate.seems_silent
+            candidate.member.is_suspect = is_plausible and candidate.is_silent
 
-    def forget_signs(self) -> None:
-        """Drop what was seen before a pause; only leaves are kept."""
+    def reset_observations(self) -> None:
+        """Discard what was observed before a pause; leaves are kept."""
         for service, by_name in self._tracked_by_service.items():
             for tracked in by_name.values():
-                tracked.forget_signs()
-            self.touch(service)
+                tracked.reset_observations()
+            self.refresh(service)
 
-    def take_changed(self) -> list[str]:
-        """Return the services that changed since this was last asked."""
+    def pop_changed(self) -> list[str]:
+        """Return the services that changed since the previous call."""
         changed = sorted(self._changed)
         self._changed.clear()
         return changed
--- a/src/lovageshunt/membership/_settings.py
+++ b/src/lovageshunt/membership/_settings.py
@@ -1,60 +1,63 @@
-"""Settings of membership, exchange and the readers of the platform."""
+"""Settings of membership and its exchange with peers."""
 
 from lovageshunt._record import Record
 
 
 class MembershipSettings(Record):
-    """Times in seconds, sizes in bytes.
+    """Settings of a membership view.
 
-    ``departed_horizon``: how long a departed VM is remembered.
-    ``absence_grace``: how long a VM that the list omits may be unheard
-    before it is probed. ``first_probe_delay`` doubles at each silence up to
-    ``longest_probe_delay``. ``rollback_patience``: how long only lower
-    revisions must be read before the platform is taken to have restarted.
-    ``bytes_per_second`` and ``burst_bytes`` bound what is sent to peers.
-    ``rumour_fanout``: to how many peers news is told, until it is
-    ``rumour_lifetime`` old. ``exchange_period``:
-    how often a digest goes to one peer.
+    ``departed_retention_seconds``: how long a departed VM is remembered.
+    ``absence_grace_seconds``: a VM missing from the list is probed if it was
+    not heard from for this time.
+    ``min_probe_delay_seconds``, ``max_probe_delay_seconds``: bounds of the
+    delay before a silent VM is probed; it doubles with each silence.
+    ``rollback_timeout_seconds``: if only lower revisions are read for this
+    time, the platform is considered to have restarted.
+    ``bytes_per_second``, ``burst_bytes``: limits of what is sent to peers.
+    ``gossip_fanout``: number of peers that a batch of updates is sent to.
+    ``gossip_lifetime_seconds``: age at which an update is no longer sent.
+    ``mean_digest_interval_seconds``: mean time between two digests, each sent
+    to one peer; intervals are jittered.
+    ``peers_per_failure_domain``: maximum number of peers sampled for exchange.
     """
 
     __slots__ = (
-        'departed_horizon',
-        'absence_grace',
-        'first_probe_delay',
-        'longest_probe_delay',
-        'rollback_patience',
+        'departed_retention_seconds',
+        'absence_grace_seconds',
+        'min_probe_delay_seconds',
+        'max_probe_delay_seconds',
+        'rollback_timeout_seconds',
         'bytes_per_second',
         'burst_bytes',
-        'rumour_fanout',
-        'rumour_lifetime',
-        'exchange_period',
-        'contacts_per_failure_domain',
+        'gossip_fanout',
+        'gossip_lifetime_seconds',
+        'mean_digest_interval_seconds',
+        'peers_per_failure_domain',
     )
 
     def __init__(
         self,
         *,
-        departed_horizon: float = 600,
-        absence_grace: float = 30,
-        first_probe_delay: float = 1,
-        longest_probe_delay: float = 60,
-        rollback_patience: float = 60,
+        departed_retention_seconds: float = 600,
+        absence_grace_seconds: float = 30,
+        min_probe_delay_seconds: float = 1,
+        max_probe_delay_seconds: float = 60,
+        rollback_timeout_seconds: float = 60,
         bytes_per_second: float = 1000,
         burst_bytes: float = 8000,
-        rumour_fanout: int = 5,
-        rumour_lifetime: float = 30,
-        exchange_period: float = 2.5,
-        contacts_per_failure_domain: int = 16,
+        gossip_fanout: int = 5,
+        gossip_lifetime_seconds: float = 30,
+        mean_digest_interval_seconds: float = 2.5,
+        peers_per_failure_domain: int = 16,
     ) -> None:
-        """Take every setting by name."""
-        self.departed_horizon = departed_horizon
-        self.absence_grace = absence_grace
-        self.first_probe_delay = first_probe_delay
-        self.longest_probe_delay = longest_probe_delay
-        self.rollback_patience = rollback_patience
+        self.departed_retention_seconds = departed_retention_seconds
+        self.absence_grace_seconds = absence_grace_seconds
+        self.min_probe_delay_seconds = min_probe_delay_seconds
+        self.max_probe_delay_seconds = max_probe_delay_seconds
+        self.rollback_timeout_seconds = rollback_timeout_seconds
         self.bytes_per_second = bytes_per_second
         self.burst_bytes = burst_bytes
-        self.rumour_fanout = rumour_fanout
-        self.rumour_lifetime = rumour_lifetime
-        self.exchange_period = exchange_period
-        self.contacts_per_failure_domain = contacts_per_failure_domain
+        self.gossip_fanout = gossip_fanout
+        self.gossip_lifetime_seconds = gossip_lifetime_seconds
+        self.mean_digest_interval_seconds = mean_digest_interval_seconds
+        self.peers_per_failure_domain = peers_per_failure_domain
--- a/src/lovageshunt/membership/_vms.py
+++ b/src/lovageshunt/membership/_vms.py
@@ -1,4 +1,4 @@
-"""The list of VMs as the platform publishes it."""
+"""The list of VMs that the platform publishes."""
 
 from enum import StrEnum
 from typing import NotRequired, TypedDict, Unpack
@@ -7,15 +7,15 @@
 
 
 class VmState(StrEnum):
-    """What the platform says of a VM; ``GONE`` means it is not listed."""
+    """The state of a VM in the list; ``GONE`` means that it is not listed."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
     GONE = 'gone'
 
 
-class VmFactFields(TypedDict):
-    """The fields of ``VmFacts``, for those that have more."""
+class VmAttributeFields(TypedDict):
+    """The keyword arguments of ``VmAttributes``, for its subclasses."""
 
     name: str
     service: str
@@ -25,11 +25,11 @@
     admin_address: NotRequired[str]
 
 
-class VmFacts(Record):
-    """What does not change in a VM's life.
+class VmAttributes(Record):
+    """Attributes that do not change during the life of a VM.
 
-    ``address`` is where the node takes calls and ``admin_address`` where it
-    takes administration and exchange, each "ip:port".
+    ``address`` is where the node accepts calls, ``admin_address`` where it
+    accepts administration and exchange; both are "ip:port".
     """
 
     __slots__ = (
@@ -51,7 +51,6 @@
         address: str,
         admin_address: str = '',
     ) -> None:
-        """Take every field by name."""
         self.name = name
         self.service = service
         self.failure_domain = failure_domain
@@ -59,8 +58,8 @@
         self.address = address
         self.admin_address = admin_address
 
-    def facts(self) -> VmFactFields:
-        """Return these fields, for another record of the same VM."""
+    def attributes(self) -> VmAttributeFields:
+        """Return these fields, to construct another record of the same VM."""
         return {
             'name': self.name,
             'service': self.service,
@@ -71,8 +70,8 @@
         }
 
 
-class ListedVm(VmFacts):
-    """One entry of the list."""
+class ListedVm(VmAttributes):
+    """An entry of the VM list."""
 
     __slots__ = ('state',)
 
@@ -80,23 +79,21 @@
         self,
         *,
         state: VmState = VmState.LIVE,
-        **facts: Unpack[VmFactFields],
+        **attributes: Unpack[VmAttributeFields],
     ) -> None:
-        """Take every field by name."""
-        super().__init__(**facts)
+        super().__init__(**attributes)
         self.state = state
 
 
 class VmList(Record):
-    """The whole list at one of the platform's revisions.
+    """The VM list at one revision of the platform.
 
-    The list lags: it names the dead, omits the new, and its revision may go
-    back after the platform restarts.
+    The list lags behind: it may contain dead VMs and omit new ones, and its
+    revision may go back after a restart of the platform.
     """
 
     __slots__ = ('revision', 'vms')
 
     def __init__(self, *, revision: int, vms: list[ListedVm]) -> None:
-        """Take the revision and the entries."""
         self.revision = revision
         self.vms = vms
--- a/tests/membership/builders.py
+++ b/tests/membership/builders.py
@@ -28,7 +28,7 @@
     )
 
 
-def said(
+def announcement_of(
     name: str,
     incarnation: str = '1',
     *,
@@ -50,7 +50,7 @@
     )
 
 
-def word(
+def peer_announced(
     name: str,
     incarnation: str = '1',
     *,
@@ -58,7 +58,7 @@
     age_ms: int = 0,
 ) -> PeerAnnounced:
     """Return the event that an announcement arrived."""
-    announcement = said(
+    announcement = announcement_of(
         name,
         incarnation,
         is_leaving=is_leaving,
@@ -67,6 +67,6 @@
     return PeerAnnounced(announcement)
 
 
-def reading_of(revision: int, *vms: ListedVm) -> VmListReceived:
+def list_received(revision: int, *vms: ListedVm) -> VmListReceived:
     """Return the event that the list was read."""
     return VmListReceived(VmList(revision=revision, vms=list(vms)))
--- a/tests/membership/test_election.py
+++ b/tests/membership/test_election.py
@@ -23,10 +23,10 @@
     VmListReadFailed,
     VmListReceived,
 )
-from tests.membership.builders import listed, reading_of
+from tests.membership.builders import list_received, listed
 
 NAMES = tuple(f'vm{index}' for index in range(8))
-EVERY_VM = reading_of(1, *(listed(name) for name in NAMES))
+EVERY_VM = list_received(1, *(listed(name) for name in NAMES))
 TURN_SECONDS = 5
 #: Timeout of the news, jitter, and the longest retry with its jitter.
 BOUND_SECONDS = 60 + 60 + 90 + 2 * TURN_SECONDS
@@ -180,6 +180,6 @@
 
     def test_without_volunteers(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """Once all the elected are dead and still listed, nobody reads."""
-        monkeypatch.setattr(ReaderElection, '_wants_to_read', only_elected)
+        monkeypatch.setattr(ReaderElection, '_should_read', only_elected)
         with pytest.raises(AssertionError):
             run_state_machine_as_test(Outages, settings=ONLY_GENERATE)
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -14,10 +14,10 @@
     VmState,
     wire_bytes,
 )
-from tests.membership.builders import listed, said
+from tests.membership.builders import announcement_of, listed
 
 BULLETIN = Bulletin(
-    announcements=[said('a', is_leaving=True, age_ms=5)],
+    announcements=[announcement_of('a', is_leaving=True, age_ms=5)],
     list_news=[
         VmListChange(revision=7, **listed('b', VmState.LEAVING).as_dict())
     ],
@@ -76,7 +76,11 @@
             None,
             {'announcements': 'a'},
             {'announcements': [{}]},
-            {'announcements': [said('a').as_dict() | {'is_leaving': 1}]},
+            {
+                'announcements': [
+                    announcement_of('a').as_dict() | {'is_leaving': 1}
+                ]
+            },
             {'list_news': [listed('a').as_dict()]},
             {'list_news': [{'state': 'asleep'}]},
         ],
--- a/tests/membership/test_spread.py
+++ b/tests/membership/test_spread.py
@@ -95,7 +95,7 @@
     def test_without_digests(self, monkeypatch: pytest.MonkeyPatch) -> None:
         """A rumour told while a region is cut off never arrives there."""
         monkeypatch.setattr(
-            'lovageshunt.membership._facts.Facts.missing',
+            'lovageshunt.membership._announcement_store.AnnouncementStore.missing',
             nothing_missing,
         )
         with pytest.raises(AssertionError):
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -19,12 +19,17 @@
     VmState,
     wire_bytes,
 )
-from tests.membership.builders import listed, reading_of, said, word
+from tests.membership.builders import (
+    announcement_of,
+    list_received,
+    listed,
+    peer_announced,
+)
 
 
 def new_view() -> MembershipView:
     """Return the view of a node that calls records."""
-    own = said('own', service='balances')
+    own = announcement_of('own', service='balances')
     return MembershipView(
         own=own,
         needed_services=['records'],
@@ -49,47 +54,49 @@
     def test_listed_leaving(self) -> None:
         """A VM that is merely listed as leaving is not offered."""
         view = new_view()
-        view.handle(reading_of(1, listed('a'), listed('b')), 0)
-        view.handle(reading_of(2, listed('a', VmState.LEAVING), listed('b')), 1)
+        view.handle(list_received(1, listed('a'), listed('b')), 0)
+        view.handle(
+            list_received(2, listed('a', VmState.LEAVING), listed('b')), 1
+        )
         assert offered(view) == ['b']
         assert departed(view) == ['a']
 
     def test_announced_leave_goes_before_the_list(self) -> None:
         """A VM that announced its leave stays out while listed as live."""
         view = new_view()
-        view.handle(reading_of(1, listed('a')), 0)
-        view.handle(word('a', is_leaving=True), 1)
-        view.handle(reading_of(2, listed('a')), 2)
+        view.handle(list_received(1, listed('a')), 0)
+        view.handle(peer_announced('a', is_leaving=True), 1)
+        view.handle(list_received(2, listed('a')), 2)
         assert offered(view) == []
 
     def test_refusal(self) -> None:
         """A peer that refuses because it leaves is not offered."""
         view = new_view()
-        view.handle(reading_of(1, listed('a')), 0)
+        view.handle(list_received(1, listed('a')), 0)
         view.handle(PeerAnswered('a', is_leaving=True), 1)
         assert offered(view) == []
 
     def test_late_leave_of_an_earlier_incarnation(self) -> None:
         """A leave of an incarnation before the present one is passed over."""
         view = new_view()
-        view.handle(word('a', '2'), 1)
-        view.handle(word('a', '1', is_leaving=True), 2)
+        view.handle(peer_announced('a', '2'), 1)
+        view.handle(peer_announced('a', '1', is_leaving=True), 2)
         assert offered(view) == ['a']
 
     def test_returned_incarnation(self) -> None:
         """A later incarnation is offered although the list still lags."""
         view = new_view()
-        view.handle(word('a', '1'), 1)
-        view.handle(reading_of(1, listed('a', VmState.LEAVING)), 2)
-        view.handle(word('a', '2'), 4)
-        view.handle(reading_of(1, listed('a', VmState.LEAVING)), 5)
+        view.handle(peer_announced('a', '1'), 1)
+        view.handle(list_received(1, listed('a', VmState.LEAVING)), 2)
+        view.handle(peer_announced('a', '2'), 4)
+        view.handle(list_received(1, listed('a', VmState.LEAVING)), 5)
         assert offered(view) == ['a']
 
     def test_first_word_does_not_take_back_a_listed_leave(self) -> None:
         """An old word of a VM that is listed as leaving changes nothing."""
         view = new_view()
-        view.handle(reading_of(1, listed('a', VmState.LEAVING)), 2)
-        view.handle(word('a', '1', age_ms=5000), 4)
+        view.handle(list_received(1, listed('a', VmState.LEAVING)), 2)
+        view.handle(peer_announced('a', '1', age_ms=5000), 4)
         assert offered(view) == []
 
 
@@ -99,7 +106,7 @@
     def test_silence_lowers_preference(self) -> None:
         """A silent peer that is listed stays a member, suspect."""
         view = new_view()
-        view.handle(reading_of(1, *(listed(name) for name in 'abc')), 0)
+        view.handle(list_received(1, *(listed(name) for name in 'abc')), 0)
         actions = view.handle(PeerSilent('a'), 1)
         assert actions == [MembersChanged('records')]
         suspects = [one.is_suspect for one in view.members_of('records')]
@@ -108,7 +115,7 @@
     def test_mostly_silent_picture_is_distrusted(self) -> None:
         """When most of a service looks silent, nobody is suspect."""
         view = new_view()
-        view.handle(reading_of(1, *(listed(name) for name in 'abc')), 0)
+        view.handle(list_received(1, *(listed(name) for name in 'abc')), 0)
         view.handle(PeerSilent('a'), 1)
         view.handle(PeerSilent('b'), 1)
         suspects = [one.is_suspect for one in view.members_of('records')]
@@ -117,7 +124,7 @@
     def test_suspects_are_probed(self) -> None:
         """A suspect is probed after a delay and trusted when it answers."""
         view = new_view()
-        view.handle(reading_of(1, *(listed(name) for name in 'abc')), 0)
+        view.handle(list_received(1, *(listed(name) for name in 'abc')), 0)
         view.handle(PeerSilent('a'), 1)
         assert Probe('a', 'a:1') in view.handle(MembershipTicked(), 3)
         view.handle(PeerAnswered('a', '1'), 4)
@@ -126,8 +133,8 @@
     def test_absent_and_silent(self) -> None:
         """A VM that the list omits is dropped once it is silent too."""
         view = new_view()
-        view.handle(reading_of(1, listed('a'), listed('b')), 0)
-        view.handle(reading_of(2, listed('b')), 40)
+        view.handle(list_received(1, listed('a'), listed('b')), 0)
+        view.handle(list_received(2, listed('b')), 40)
         assert offered(view) == ['a', 'b']
         view.handle(PeerSilent('a'), 41)
         view.handle(PeerSilent('a'), 43)
@@ -141,8 +148,8 @@
     def test_listed_leave_is_told_to_the_vm(self) -> None:
         """A VM that is newly listed as leaving is told so at once."""
         view = new_view()
-        view.handle(reading_of(1, listed('a'), listed('b')), 0)
-        reading = reading_of(2, listed('a', VmState.LEAVING), listed('b'))
+        view.handle(list_received(1, listed('a'), listed('b')), 0)
+        reading = list_received(2, listed('a', VmState.LEAVING), listed('b'))
         told = view.handle(reading, 1)[0]
         assert isinstance(told, SendBulletin)
         assert told.peer.address == 'a:2'
@@ -157,7 +164,7 @@
         """A VM that is told of its listed leave asks to leave, once."""
         view = new_view()
         own = listed('own').as_dict() | {'service': 'balances'}
-        view.handle(reading_of(1, ListedVm(**own)), 0)
+        view.handle(list_received(1, ListedVm(**own)), 0)
         own['state'] = VmState.LEAVING
         news = VmListChangeReceived(VmListChange(revision=2, **own))
         assert view.handle(news, 1) == [OwnLeaveListed()]
@@ -167,20 +174,20 @@
         """News older than the list that was read is checked, not believed."""
         view = new_view()
         own = listed('own').as_dict() | {'service': 'balances'}
-        view.handle(reading_of(5, ListedVm(**own)), 0)
+        view.handle(list_received(5, ListedVm(**own)), 0)
         own['state'] = VmState.LEAVING
         news = VmListChangeReceived(VmListChange(revision=4, **own))
         assert view.handle(news, 1) == [ReadVmList(is_watch=False)]
-        assert view.handle(reading_of(4, ListedVm(**own)), 2) == []
+        assert view.handle(list_received(4, ListedVm(**own)), 2) == []
 
     def test_own_leave_listed_at_the_start(self) -> None:
         """A node that starts waits whether the list repeats its leave."""
         view = new_view()
         own = listed('own', VmState.LEAVING).as_dict()
         own['service'] = 'balances'
-        assert view.handle(reading_of(1, ListedVm(**own)), 1) == []
+        assert view.handle(list_received(1, ListedVm(**own)), 1) == []
         assert OwnLeaveListed() in view.handle(
-            reading_of(2, ListedVm(**own)),
+            list_received(2, ListedVm(**own)),
             40,
         )
 
@@ -196,7 +203,7 @@
             for domain in ('fd1', 'fd2', 'fd3')
             for index in range(9)
         ]
-        view.handle(reading_of(1, *vms), 0)
+        view.handle(list_received(1, *vms), 0)
         peers = view.peers_for_exchange(6)
         domains = sorted(peer.failure_domain for peer in peers)
         assert domains[:3] == ['fd1', 'fd1', 'fd1']
@@ -206,11 +213,13 @@
         """However much there is to tell, the byte budget is kept."""
         view = new_view()
         view.handle(
-            reading_of(1, *(listed(f'x{index}') for index in range(9))), 0
+            list_received(1, *(listed(f'x{index}') for index in range(9))), 0
         )
         sent = 0
         for turn in range(400):
-            actions = view.handle(word(f'v{turn}', age_ms=turn), turn / 10)
+            actions = view.handle(
+                peer_announced(f'v{turn}', age_ms=turn), turn / 10
+            )
             actions += view.handle(MembershipTicked(), turn / 10)
             sent += sum(
                 wire_bytes(action.bulletin) + 250
@@ -226,9 +235,11 @@
     def test_older_list_takes_nothing_back(self) -> None:
         """An older list neither revives a leaving VM nor drops a new one."""
         view = new_view()
-        view.handle(reading_of(1, listed('a')), 0)
-        view.handle(reading_of(5, listed('a', VmState.LEAVING), listed('b')), 1)
-        view.handle(reading_of(4, listed('a')), 2)
+        view.handle(list_received(1, listed('a')), 0)
+        view.handle(
+            list_received(5, listed('a', VmState.LEAVING), listed('b')), 1
+        )
+        view.handle(list_received(4, listed('a')), 2)
         assert offered(view) == ['b']
 
 
@@ -238,7 +249,7 @@
     def test_told_at_once(self) -> None:
         """A leave is announced to peers without waiting for a tick."""
         view = new_view()
-        view.handle(reading_of(1, listed('a'), listed('b')), 0)
+        view.handle(list_received(1, listed('a'), listed('b')), 0)
         view.handle(MembershipTicked(), 0.1)
         told = [
             action
--- a/tests/membership/test_view_machine.py
+++ b/tests/membership/test_view_machine.py
@@ -27,7 +27,7 @@
     VmListReceived,
     VmState,
 )
-from tests.membership.builders import listed, reading_of, said
+from tests.membership.builders import announcement_of, list_received, listed
 
 #: Never leaves and always answers, but the list may omit it.
 STEADY = 'steady'
@@ -56,7 +56,7 @@
         super().__init__()
         self.now = 100.0
         self.view = MembershipView(
-            own=said('own', service='balances'),
+            own=announcement_of('own', service='balances'),
             needed_services=['records'],
             rng=Random(1),
             now=self.now,
@@ -100,7 +100,7 @@
             if state is not VmState.GONE
             and not (omits_steady and name == STEADY)
         ]
-        self.published.append(reading_of(len(self.published) + 1, *vms))
+        self.published.append(list_received(len(self.published) + 1, *vms))
 
     @rule(back=st.integers(0, 3))
     def read_list(self, back: int) -> None:
@@ -221,7 +221,7 @@
 
     def word_of(self, name: str, *, is_leaving: bool) -> Announcement:
         """Return what a VM says of itself now."""
-        return said(name, self.current(name), is_leaving=is_leaving)
+        return announcement_of(name, self.current(name), is_leaving=is_leaving)
 
     def note_heard(self, heard: Announcement) -> None:
         """Keep what the view must believe of announcements."""
@@ -258,7 +258,7 @@
 
 def was_silent(tracked: Any) -> bool:
     """Return whether a VM missed one answer, the naive reason to drop it."""
-    return bool(tracked.silences)
+    return bool(tracked.silence_count)
 
 
 class TestMachineBites:
@@ -267,12 +267,15 @@
     @pytest.mark.parametrize(
         ('checked_by', 'naive'),
         [
-            ('_facts.Facts.has_left', lambda *_: False),
-            ('_facts._is_newer', lambda *_: True),
-            ('_listing.Listing._is_current', lambda *_: True),
-            ('_tracked.Tracked.is_gone', property(was_silent)),
-            ('_tracked.Tracked.forget_signs', lambda _: None),
-            ('_services._TRUSTED_SHARE', 1),
+            (
+                '_announcement_store.AnnouncementStore.has_left',
+                lambda *_: False,
+            ),
+            ('_announcement_store._is_newer', lambda *_: True),
+            ('_list_tracker.ListTracker._is_current', lambda *_: True),
+            ('_tracked_vm.TrackedVm.is_droppable', property(was_silent)),
+            ('_tracked_vm.TrackedVm.reset_observations', lambda _: None),
+            ('_services._MAX_SUSPECT_SHARE', 1),
         ],
     )
     def test_without_a_rule(
