--- a/tests/membership/builders.py
+++ b/tests/membership/builders.py
@@ -1,4 +1,4 @@
-"""Makes the messages that the tests of membership share."""
+"""Builders of membership messages and events for the tests."""
 
 from lovageshunt.membership import (
     Announcement,
@@ -16,7 +16,7 @@
     *,
     failure_domain: str = 'fd1',
 ) -> ListedVm:
-    """Return an entry of the list for a VM of the service records."""
+    """Return a VM list entry of the service ``records``."""
     return ListedVm(
         name=name,
         service='records',
@@ -36,7 +36,7 @@
     age_ms: int = 0,
     service: str = 'records',
 ) -> Announcement:
-    """Return an announcement by a VM of the service records."""
+    """Return an announcement by a VM, by default of the service ``records``."""
     return Announcement(
         name=name,
         service=service,
@@ -68,5 +68,5 @@
 
 
 def list_received(revision: int, *vms: ListedVm) -> VmListReceived:
-    """Return the event that the list was read."""
+    """Return the event that the VM list was received."""
     return VmListReceived(VmList(revision=revision, vms=list(vms)))
--- a/tests/membership/test_election.py
+++ b/tests/membership/test_election.py
@@ -1,4 +1,4 @@
-"""A few nodes of each failure domain read the platform, come what may."""
+"""Some nodes of each failure domain read the platform despite failures."""
 
 from random import Random
 from typing import Any
@@ -27,9 +27,9 @@
 
 NAMES = tuple(f'vm{index}' for index in range(8))
 EVERY_VM = list_received(1, *(listed(name) for name in NAMES))
-TURN_SECONDS = 5
-#: Timeout of the news, jitter, and the longest retry with its jitter.
-BOUND_SECONDS = 60 + 60 + 90 + 2 * TURN_SECONDS
+TICK_SECONDS = 5
+#: Maximum answer age, fallback jitter and the longest retry delay with jitter.
+BOUND_SECONDS = 60 + 60 + 90 + 2 * TICK_SECONDS
 SETTINGS = settings(
     max_examples=40,
     stateful_step_count=25,
@@ -39,27 +39,27 @@
 
 
 def new_election(name: str, now: float = 0) -> ReaderElection:
-    """Return the election of a node of the failure domain fd1."""
+    """Return the election of a node in the failure domain fd1."""
     return ReaderElection(name, 'fd1', Random(name), now=now)
 
 
 def elected_of(elections: dict[str, ReaderElection]) -> set[str]:
-    """Return the names of those that take themselves for readers."""
+    """Return the names of the nodes that consider themselves readers."""
     return {name for name, election in elections.items() if election.is_elected}
 
 
 class TestReaderElection:
-    """Who reads, and when."""
+    """Which nodes read the platform, and when."""
 
     def test_few_read(self) -> None:
-        """As many nodes as asked for are elected from one list."""
+        """The configured number of readers is elected from one list."""
         elections = [new_election(name) for name in NAMES]
         for election in elections:
             election.handle(EVERY_VM, 1)
-        assert sum(one.is_elected for one in elections) == 3
+        assert sum(election.is_elected for election in elections) == 3
 
     def test_silent_reader_is_replaced(self) -> None:
-        """A node takes the place of a reader that it finds silent."""
+        """Another node replaces a reader that is silent."""
         elections = {name: new_election(name) for name in NAMES}
         for started in elections.values():
             started.handle(EVERY_VM, 1)
@@ -70,75 +70,73 @@
         assert len(replaced - readers) == 1
 
     def test_failed_reads_back_off(self) -> None:
-        """While the platform is down a node asks ever more rarely."""
+        """Reads become less frequent while the platform is down."""
         election = new_election('vm0')
-        asked_at = []
+        read_at = []
         for second in range(600):
             if election.handle(MembershipTicked(), second):
-                asked_at.append(second)
+                read_at.append(second)
                 election.handle(VmListReadFailed(), second)
-        early = sum(asked < 60 for asked in asked_at)
-        late = sum(asked >= 540 for asked in asked_at)
+        early = sum(second < 60 for second in read_at)
+        late = sum(second >= 540 for second in read_at)
         assert late <= 2 < early
 
 
 class Outages(RuleBasedStateMachine):
-    """Nodes of one failure domain that die and return, unannounced.
+    """Nodes of one failure domain that stop and return without announcement.
 
-    The list is stale: it names every VM at all times. Nobody reports a dead
-    reader as silent. The platform goes down and comes back.
+    The list is stale: it always contains every VM. Nobody reports a dead reader
+    as silent. The platform goes down and comes back.
     """
 
     def __init__(self) -> None:
-        """Begin with every node started and the platform up."""
+        """Start every node, with the platform up."""
         super().__init__()
         self.now = 0
         self.by_name = {name: new_election(name) for name in NAMES}
         self.reading: set[str] = set()
         self.is_up = True
-        self.sound_since = 0
+        self.stable_since = 0
         self.read_at = 0
 
-    @rule(turns=st.integers(1, 50))
-    def wait(self, turns: int) -> None:
-        """Let the timers turn; reads are answered one turn later."""
-        for _ in range(turns):
-            self.now += TURN_SECONDS
+    @rule(ticks=st.integers(1, 50))
+    def wait(self, ticks: int) -> None:
+        """Advance time; reads are answered one tick later."""
+        for _ in range(ticks):
+            self.now += TICK_SECONDS
             self.answer_reads()
-            self.spread_news()
+            self.spread_answer_age()
             for name in self.by_name:
-                self.tell(name, MembershipTicked())
+                self.send(name, MembershipTicked())
 
     @rule(victims=st.sets(st.sampled_from(NAMES), min_size=1))
     def kill(self, victims: set[str]) -> None:
-        """Kill some nodes."""
         for name in victims:
             self.by_name.pop(name, None)
             self.reading.discard(name)
-        self.sound_since = self.now
+        self.stable_since = self.now
 
     @rule(name=st.sampled_from(NAMES))
     def start(self, name: str) -> None:
-        """Start a node that is not there."""
+        """Start a node that is not running."""
         if name not in self.by_name:
             self.by_name[name] = new_election(name, self.now)
-            self.sound_since = self.now
+            self.stable_since = self.now
 
     @rule(is_up=st.booleans())
     def switch_platform(self, *, is_up: bool) -> None:
-        """Let the platform go down or come back."""
         self.is_up = is_up
-        self.sound_since = self.now
+        self.stable_since = self.now
 
     @invariant()
     def somebody_reads(self) -> None:
-        """While someone lives and the platform answers, news comes."""
-        is_sound = self.is_up and self.by_name
-        if is_sound and self.now - self.sound_since > BOUND_SECONDS:
+        """If a node runs and the platform is up, it is read within a bound."""
+        is_stable = self.is_up and self.by_name
+        if is_stable and self.now - self.stable_since > BOUND_SECONDS:
             assert self.now - self.read_at <= BOUND_SECONDS
 
     def answer_reads(self) -> None:
-        """Answer the reads and watches that were asked for before."""
+        """Answer the reads and watches requested earlier."""
         outcome: VmListReceived | VmListReadFailed = VmListReadFailed()
         if self.is_up:
             outcome = EVERY_VM
@@ -147,10 +145,10 @@
         if answered and self.is_up:
             self.read_at = self.now
         for name in answered:
-            self.tell(name, outcome)
+            self.send(name, outcome)
 
-    def spread_news(self) -> None:
-        """Tell every node the latest time of an answer."""
+    def spread_answer_age(self) -> None:
+        """Report the age of the latest answer to every node."""
         age_ms = (self.now - self.read_at) * 1000
         bulletin = Bulletin(
             announcements=[],
@@ -158,10 +156,10 @@
             news_age_ms=age_ms,
         )
         for name in self.by_name:
-            self.tell(name, BulletinReceived(bulletin))
+            self.send(name, BulletinReceived(bulletin))
 
-    def tell(self, name: str, event: Record) -> None:
-        """Let a node handle an event, and note when it reads."""
+    def send(self, name: str, event: Record) -> None:
+        """Pass an event to a node and note whether it reads."""
         if self.by_name[name].handle(event, self.now):
             self.reading.add(name)
 
@@ -171,15 +169,17 @@
 
 
 def only_elected(election: Any, _: float) -> bool:
-    """Read only when elected, the naive rule."""
+    """Read only if elected: the naive rule."""
     return election.is_elected or not election._has_read
 
 
 class TestOutagesBite:
-    """The machine fails against an election without volunteers."""
+    """The state machine detects an election without fallback reads."""
 
-    def test_without_volunteers(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Once all the elected are dead and still listed, nobody reads."""
+    def test_without_fallback_reads(
+        self, monkeypatch: pytest.MonkeyPatch
+    ) -> None:
+        """Nobody reads once all elected nodes are dead but still listed."""
         monkeypatch.setattr(ReaderElection, '_should_read', only_elected)
         with pytest.raises(AssertionError):
             run_state_machine_as_test(Outages, settings=ONLY_GENERATE)
--- a/tests/membership/test_epochs.py
+++ b/tests/membership/test_epochs.py
@@ -1,4 +1,4 @@
-"""A pause is noticed before the next decision."""
+"""A pause of the process is detected before the next decision."""
 
 import pytest
 
@@ -7,39 +7,39 @@
 
 
 def new_clock() -> EpochClock:
-    """Return a clock whose timer turns four times a second."""
+    """Return a clock whose timer fires four times per second."""
     return EpochClock(0, tick_seconds=0.25, slack_seconds=0.75)
 
 
 class TestEpochClock:
-    """When an epoch ends."""
+    """When a new epoch starts."""
 
     def test_regular_turns(self) -> None:
-        """Turns that come in time, or somewhat late, begin no epoch."""
+        """Ticks on time or slightly late start no epoch."""
         clock = new_clock()
-        assert not any(clock.observe(turn * 0.9) for turn in range(20))
+        assert not any(clock.observe(tick * 0.9) for tick in range(20))
 
     def test_pause_before_the_next_decision(self) -> None:
-        """A decision that comes before the next turn notices the pause."""
+        """A decision before the next tick detects the pause."""
         clock = new_clock()
         clock.observe(0.25)
         assert clock.observe(5)
         assert clock.epoch == 1
 
     def test_pause_between_decision_and_dispatch(self) -> None:
-        """A decision made before a pause is refused at dispatch."""
+        """A decision made before a pause is rejected at dispatch."""
         clock = new_clock()
-        picture = clock.stamp('a target')
+        stamped = clock.stamp('a target')
         with pytest.raises(StalePictureError, match='decide anew'):
-            clock.require(picture.epoch, 5)
+            clock.require(stamped.epoch, 5)
 
     def test_dispatch_in_the_same_epoch(self) -> None:
-        """A decision that is dispatched in time passes."""
+        """A decision dispatched in time is accepted."""
         clock = new_clock()
         clock.require(clock.stamp('a target').epoch, 0.5)
 
     def test_clock_that_goes_back(self) -> None:
-        """A clock that goes back neither begins an epoch nor hides one."""
+        """A clock that goes back neither starts an epoch nor hides one."""
         clock = new_clock()
         clock.observe(10)
         assert not clock.observe(3)
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages about members survive the wire, and faulty ones are refused."""
+"""Membership messages survive encoding; malformed ones are rejected."""
 
 from typing import Any
 
@@ -32,7 +32,7 @@
 
 
 def changed(name: str, value: Any) -> dict[str, Any]:
-    """Return a digest's fields with one changed."""
+    """Return the fields of a digest with one of them replaced."""
     return DIGEST.as_dict() | {name: value}
 
 
@@ -41,13 +41,13 @@
 
     @pytest.mark.parametrize('message', [BULLETIN, DIGEST])
     def test_round_trip(self, message: Bulletin | MembershipDigest) -> None:
-        """A message is the same after the wire."""
+        """A decoded message equals the encoded one."""
         text = orjson.dumps(message.as_dict())
         assert type(message).from_fields(orjson.loads(text)) == message
         assert wire_bytes(message) == len(text)
 
     def test_later_fields(self) -> None:
-        """Fields of a later version are passed over."""
+        """Fields of a later version are ignored."""
         fields = orjson.loads(orjson.dumps(changed('colour', 'red')))
         assert MembershipDigest.from_fields(fields) == DIGEST
 
@@ -66,7 +66,7 @@
         ],
     )
     def test_faulty_digest(self, name: str, value: Any) -> None:
-        """A digest with a field out of its range is refused."""
+        """A digest with an invalid field is rejected."""
         with pytest.raises(MalformedMembershipError):
             MembershipDigest.from_fields(changed(name, value))
 
@@ -86,6 +86,6 @@
         ],
     )
     def test_faulty_bulletin(self, fields: object) -> None:
-        """A bulletin with a faulty part is refused."""
+        """A bulletin with an invalid part is rejected."""
         with pytest.raises(MalformedMembershipError):
             Bulletin.from_fields(fields)
--- a/tests/membership/test_spread.py
+++ b/tests/membership/test_spread.py
@@ -1,4 +1,4 @@
-"""News of members reaches every node that needs it, after any trouble."""
+"""Membership updates reach every node that needs them after network faults."""
 
 from typing import Any
 
@@ -28,20 +28,19 @@
 
 
 class Trouble(RuleBasedStateMachine):
-    """Nodes leave and restart while messages are lost and regions cut.
+    """Nodes leave and restart while messages are lost and regions are cut off.
 
-    The platform's list never changes: all is told by the nodes themselves.
+    The platform's list never changes: all updates come from the nodes.
     """
 
     def __init__(self) -> None:
-        """Begin with a fleet that knows itself."""
+        """Start with a fleet in which all nodes know each other."""
         super().__init__()
         self.fleet = Fleet(SIZE)
         self.fleet.run(BOOT_SECONDS)
 
     @rule(name=vms)
     def leave(self, name: str) -> None:
-        """Let a node leave."""
         self.fleet.tell(self.fleet.by_name[name], LeaveStarted())
 
     @rule(name=vms)
@@ -52,18 +51,17 @@
 
     @rule(are_cut=st.booleans(), loss=st.sampled_from([0, 0.3]))
     def trouble(self, *, are_cut: bool, loss: float) -> None:
-        """Cut or join the regions, and lose some of the messages."""
+        """Cut off or join the regions, and set the share of lost messages."""
         self.fleet.regions_are_cut = are_cut
         self.fleet.loss = loss
 
     @rule(seconds=st.sampled_from([1, 5, 60]))
     def wait(self, seconds: int) -> None:
-        """Let time pass."""
         self.fleet.run(seconds)
 
     @rule()
     def settle(self) -> None:
-        """End all trouble; then every node knows who may get calls."""
+        """End all faults; every node must then know who may receive calls."""
         self.trouble(are_cut=False, loss=0)
         self.fleet.run(SETTLE_SECONDS)
         nodes = self.fleet.by_name.values()
@@ -85,15 +83,15 @@
 
 
 def nothing_missing(*_: Any) -> list[Any]:
-    """Find nothing that a peer lacks, as if there were no digests."""
+    """Report that a peer lacks nothing, as if there were no digests."""
     return []
 
 
 class TestTroubleBites:
-    """The machine fails against a fleet that only tells rumours."""
+    """The state machine detects a fleet that exchanges no digests."""
 
     def test_without_digests(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """A rumour told while a region is cut off never arrives there."""
+        """An update sent while a region is cut off never arrives there."""
         monkeypatch.setattr(
             'lovageshunt.membership._announcement_store.AnnouncementStore.missing',
             nothing_missing,
--- a/tests/membership/test_view.py
+++ b/tests/membership/test_view.py
@@ -1,4 +1,4 @@
-"""A view believes leaves at once and silence hardly."""
+"""A view accepts leaves at once and removes nobody for silence alone."""
 
 from random import Random
 
@@ -28,7 +28,7 @@
 
 
 def new_view() -> MembershipView:
-    """Return the view of a node that calls records."""
+    """Return the view of a node that calls the service ``records``."""
     own = announcement_of('own', service='balances')
     return MembershipView(
         own=own,
@@ -39,20 +39,20 @@
 
 
 def offered(view: MembershipView) -> list[str]:
-    """Return the names of the members of records."""
+    """Return the names of the members of ``records``."""
     return [member.name for member in view.members_of('records')]
 
 
 def departed(view: MembershipView) -> list[str]:
-    """Return the names of those that lately left records."""
+    """Return the names of members that recently left ``records``."""
     return [member.name for member in view.recently_departed('records')]
 
 
 class TestLeaving:
-    """Whom a call may not be sent to."""
+    """VMs that must not receive calls."""
 
     def test_listed_leaving(self) -> None:
-        """A VM that is merely listed as leaving is not offered."""
+        """A VM that is only listed as leaving is not offered."""
         view = new_view()
         view.handle(list_received(1, listed('a'), listed('b')), 0)
         view.handle(
@@ -62,7 +62,7 @@
         assert departed(view) == ['a']
 
     def test_announced_leave_goes_before_the_list(self) -> None:
-        """A VM that announced its leave stays out while listed as live."""
+        """A VM that announced its leave stays excluded while listed as live."""
         view = new_view()
         view.handle(list_received(1, listed('a')), 0)
         view.handle(peer_announced('a', is_leaving=True), 1)
@@ -70,21 +70,21 @@
         assert offered(view) == []
 
     def test_refusal(self) -> None:
-        """A peer that refuses because it leaves is not offered."""
+        """A peer that refuses because it is leaving is not offered."""
         view = new_view()
         view.handle(list_received(1, listed('a')), 0)
         view.handle(PeerAnswered('a', is_leaving=True), 1)
         assert offered(view) == []
 
     def test_late_leave_of_an_earlier_incarnation(self) -> None:
-        """A leave of an incarnation before the present one is passed over."""
+        """A leave of an earlier incarnation is ignored."""
         view = new_view()
         view.handle(peer_announced('a', '2'), 1)
         view.handle(peer_announced('a', '1', is_leaving=True), 2)
         assert offered(view) == ['a']
 
     def test_returned_incarnation(self) -> None:
-        """A later incarnation is offered although the list still lags."""
+        """A later incarnation is offered although the list lags behind."""
         view = new_view()
         view.handle(peer_announced('a', '1'), 1)
         view.handle(list_received(1, listed('a', VmState.LEAVING)), 2)
@@ -92,8 +92,8 @@
         view.handle(list_received(1, listed('a', VmState.LEAVING)), 5)
         assert offered(view) == ['a']
 
-    def test_first_word_does_not_take_back_a_listed_leave(self) -> None:
-        """An old word of a VM that is listed as leaving changes nothing."""
+    def test_first_announcement_does_not_revoke_a_listed_leave(self) -> None:
+        """An old announcement does not revoke a listed leave."""
         view = new_view()
         view.handle(list_received(1, listed('a', VmState.LEAVING)), 2)
         view.handle(peer_announced('a', '1', age_ms=5000), 4)
@@ -101,28 +101,28 @@
 
 
 class TestSilence:
-    """What a peer that does not answer is taken for."""
+    """How silent peers are treated."""
 
     def test_silence_lowers_preference(self) -> None:
-        """A silent peer that is listed stays a member, suspect."""
+        """A silent peer that is listed stays a member, as a suspect."""
         view = new_view()
         view.handle(list_received(1, *(listed(name) for name in 'abc')), 0)
         actions = view.handle(PeerSilent('a'), 1)
         assert actions == [MembersChanged('records')]
-        suspects = [one.is_suspect for one in view.members_of('records')]
+        suspects = [member.is_suspect for member in view.members_of('records')]
         assert suspects == [True, False, False]
 
-    def test_mostly_silent_picture_is_distrusted(self) -> None:
-        """When most of a service looks silent, nobody is suspect."""
+    def test_mostly_silent_view_is_distrusted(self) -> None:
+        """If most of a service seems silent, nobody is suspect."""
         view = new_view()
         view.handle(list_received(1, *(listed(name) for name in 'abc')), 0)
         view.handle(PeerSilent('a'), 1)
         view.handle(PeerSilent('b'), 1)
-        suspects = [one.is_suspect for one in view.members_of('records')]
+        suspects = [member.is_suspect for member in view.members_of('records')]
         assert suspects == [False, False, False]
 
     def test_suspects_are_probed(self) -> None:
-        """A suspect is probed after a delay and trusted when it answers."""
+        """A suspect is probed after a delay and trusted once it answers."""
         view = new_view()
         view.handle(list_received(1, *(listed(name) for name in 'abc')), 0)
         view.handle(PeerSilent('a'), 1)
@@ -131,7 +131,7 @@
         assert not view.members_of('records')[0].is_suspect
 
     def test_absent_and_silent(self) -> None:
-        """A VM that the list omits is dropped once it is silent too."""
+        """A VM missing from the list is dropped once it is silent too."""
         view = new_view()
         view.handle(list_received(1, listed('a'), listed('b')), 0)
         view.handle(list_received(2, listed('b')), 40)
@@ -142,46 +142,46 @@
         assert departed(view) == ['a']
 
 
-class TestListNews:
-    """What a reader of the platform passes on."""
+class TestListChanges:
+    """Changes of the VM list that a reader forwards."""
 
-    def test_listed_leave_is_told_to_the_vm(self) -> None:
-        """A VM that is newly listed as leaving is told so at once."""
+    def test_vm_is_notified_of_its_listed_leave(self) -> None:
+        """A VM newly listed as leaving is notified at once."""
         view = new_view()
         view.handle(list_received(1, listed('a'), listed('b')), 0)
-        reading = list_received(2, listed('a', VmState.LEAVING), listed('b'))
-        told = view.handle(reading, 1)[0]
-        assert isinstance(told, SendBulletin)
-        assert told.peer.address == 'a:2'
-        assert told.bulletin.list_news == [
+        event = list_received(2, listed('a', VmState.LEAVING), listed('b'))
+        notice = view.handle(event, 1)[0]
+        assert isinstance(notice, SendBulletin)
+        assert notice.peer.address == 'a:2'
+        assert notice.bulletin.list_news == [
             VmListChange(
                 revision=2,
                 **listed('a', VmState.LEAVING).as_dict(),
             ),
         ]
 
-    def test_told_vm_leaves(self) -> None:
-        """A VM that is told of its listed leave asks to leave, once."""
+    def test_notified_vm_leaves(self) -> None:
+        """A VM notified of its listed leave asks to leave, once."""
         view = new_view()
         own = listed('own').as_dict() | {'service': 'balances'}
         view.handle(list_received(1, ListedVm(**own)), 0)
         own['state'] = VmState.LEAVING
-        news = VmListChangeReceived(VmListChange(revision=2, **own))
-        assert view.handle(news, 1) == [OwnLeaveListed()]
-        assert view.handle(news, 1) == []
+        event = VmListChangeReceived(VmListChange(revision=2, **own))
+        assert view.handle(event, 1) == [OwnLeaveListed()]
+        assert view.handle(event, 1) == []
 
-    def test_late_news_of_an_earlier_incarnation(self) -> None:
-        """News older than the list that was read is checked, not believed."""
+    def test_late_change_of_an_earlier_incarnation(self) -> None:
+        """A change older than the list that was read causes another read."""
         view = new_view()
         own = listed('own').as_dict() | {'service': 'balances'}
         view.handle(list_received(5, ListedVm(**own)), 0)
         own['state'] = VmState.LEAVING
-        news = VmListChangeReceived(VmListChange(revision=4, **own))
-        assert view.handle(news, 1) == [ReadVmList(is_watch=False)]
+        event = VmListChangeReceived(VmListChange(revision=4, **own))
+        assert view.handle(event, 1) == [ReadVmList(is_watch=False)]
         assert view.handle(list_received(4, ListedVm(**own)), 2) == []
 
     def test_own_leave_listed_at_the_start(self) -> None:
-        """A node that starts waits whether the list repeats its leave."""
+        """A starting node leaves only if the list keeps showing its leave."""
         view = new_view()
         own = listed('own', VmState.LEAVING).as_dict()
         own['service'] = 'balances'
@@ -193,10 +193,13 @@
 
 
 class TestExchange:
-    """Whom news is told, and how much of it."""
+    """Which peers receive updates, and how many bytes are sent."""
 
     def test_peers_of_each_failure_domain(self) -> None:
-        """Half of the peers are of the own failure domain, and some of each."""
+        """Half of the peers are in the own failure domain.
+
+        The rest includes each of the other failure domains.
+        """
         view = new_view()
         vms = [
             listed(f'{domain}-{index}', failure_domain=domain)
@@ -210,7 +213,7 @@
         assert {'fd2', 'fd3'} <= set(domains)
 
     def test_budget(self) -> None:
-        """However much there is to tell, the byte budget is kept."""
+        """The byte budget holds however many updates are queued."""
         view = new_view()
         view.handle(
             list_received(1, *(listed(f'x{index}') for index in range(9))), 0
@@ -244,18 +247,18 @@
 
 
 class TestOwnLeave:
-    """How this node tells that it leaves."""
+    """How this node announces that it leaves."""
 
-    def test_told_at_once(self) -> None:
+    def test_announced_at_once(self) -> None:
         """A leave is announced to peers without waiting for a tick."""
         view = new_view()
         view.handle(list_received(1, listed('a'), listed('b')), 0)
         view.handle(MembershipTicked(), 0.1)
-        told = [
+        sent = [
             action
             for action in view.handle(LeaveStarted(), 1)
             if isinstance(action, SendBulletin)
         ]
-        assert {action.peer.name for action in told} == {'a', 'b'}
-        leaves = told[0].bulletin.announcements
+        assert {action.peer.name for action in sent} == {'a', 'b'}
+        leaves = sent[0].bulletin.announcements
         assert [leave.is_leaving for leave in leaves] == [True]
