--- a/src/lovageshunt/membership/_gossip.py
+++ b/src/lovageshunt/membership/_gossip.py
@@ -30,7 +30,7 @@
 from lovageshunt.membership._services import ServiceIndex
 from lovageshunt.membership._settings import MembershipSettings
 
-#: Services compared per received digest; bounds the size of the reply.
+#: Maximum number of services compared in reply to one digest.
 _MAX_COMPARED_SERVICES: Final = 2
 
 
--- a/src/lovageshunt/membership/_peer_sample.py
+++ b/src/lovageshunt/membership/_peer_sample.py
@@ -115,8 +115,7 @@
             for peer in peer_by_name.values()
             if peer.name not in self._silent
         ]
-        # If every peer seems silent, this node's own connection is the likelier
-        # fault.
+        # If every peer seems silent, this node's view is the likelier fault.
         peers = peers or list(peer_by_name.values())
         self._rng.shuffle(peers)
         return peers
--- a/src/lovageshunt/membership/_services.py
+++ b/src/lovageshunt/membership/_services.py
@@ -5,8 +5,8 @@
 from lovageshunt.membership._member import Member
 from lovageshunt.membership._tracked_vm import TrackedVm
 
-#: If a larger share of a service seems silent, this node's connection is the
-#: likelier fault, and no member is suspected.
+#: If a larger share of a service seems silent, this node's view is the likelier
+#: fault, and no member is suspected.
 _MAX_SUSPECT_SHARE: Final = 0.5
 
 
