--- a/bench/membership_fleet.py
+++ b/bench/membership_fleet.py
@@ -14,23 +14,23 @@
 
 from lovageshunt._record import Record
 from lovageshunt.membership import (
-    Announce,
     Announcement,
     BulletinReceived,
     DigestReceived,
     LeaveStarted,
     ListedVm,
-    ListRead,
-    ListReadFailed,
+    MembershipTicked,
     MembershipView,
     OwnLeaveListed,
     PeerAnswered,
     PeerSilent,
     ReaderElection,
-    ReadList,
+    ReadVmList,
+    SendBulletin,
     SendDigest,
-    Ticked,
     VmList,
+    VmListReadFailed,
+    VmListReceived,
     VmState,
     wire_bytes,
 )
@@ -95,7 +95,7 @@
     def handle(self, event: Record, now: float) -> list[Record]:
         """Pass an event to the view and to the election."""
         actions = []
-        if not isinstance(event, ListReadFailed):
+        if not isinstance(event, VmListReadFailed):
             actions = self.view.handle(event, now)
         return actions + self.election.handle(event, now)
 
@@ -215,7 +215,7 @@
     def _tick_of(self, node: Node) -> Step:
         def tick() -> None:  # noqa: WPS430 the queue keeps steps
             if node.is_up:
-                self.tell(node, Ticked())
+                self.tell(node, MembershipTicked())
                 self._after(TICK_SECONDS, tick)
 
         return tick
@@ -223,18 +223,20 @@
     def _answer_of(self, node: Node) -> Step:
         def answer() -> None:  # noqa: WPS430 the queue keeps steps
             if not self.platform_is_up:
-                self.tell(node, ListReadFailed())
+                self.tell(node, VmListReadFailed())
                 return
             vms = list(self.listed.values())
             node.read_revision = self.revision
-            self.tell(node, ListRead(VmList(revision=self.revision, vms=vms)))
+            self.tell(
+                node, VmListReceived(VmList(revision=self.revision, vms=vms))
+            )
 
         return answer
 
     def _carry_out(self, node: Node, action: Record) -> None:
-        if isinstance(action, ReadList):
+        if isinstance(action, ReadVmList):
             self._read(node, is_watch=action.is_watch)
-        if isinstance(action, Announce):
+        if isinstance(action, SendBulletin):
             body = BulletinReceived(action.bulletin)
             self._send(node, action.peer.name, body, action.bulletin)
         if isinstance(action, OwnLeaveListed):
--- a/src/lovageshunt/membership/__init__.py
+++ b/src/lovageshunt/membership/__init__.py
@@ -1,49 +1,49 @@
-"""Who is here, who is leaving and who has gone silent."""
+"""Track the members of services: who is live, leaving or unresponsive."""
 
 from lovageshunt.membership._actions import (
-    Announce,
     MembersChanged,
     OwnLeaveListed,
     Peer,
     Probe,
-    ReadList,
+    ReadVmList,
+    SendBulletin,
     SendDigest,
 )
 from lovageshunt.membership._election import (
     ElectionSettings,
     ReaderElection,
 )
-from lovageshunt.membership._epochs import EpochClock, Picture
+from lovageshunt.membership._epochs import EpochClock, StampedInputs
 from lovageshunt.membership._events import (
     BulletinReceived,
     DigestReceived,
     LeaveStarted,
-    ListNewsHeard,
-    ListRead,
-    ListReadFailed,
+    MembershipTicked,
     PauseEnded,
     PeerAnnounced,
     PeerAnswered,
     PeerSilent,
-    Ticked,
+    VmListChangeReceived,
+    VmListReadFailed,
+    VmListReceived,
 )
 from lovageshunt.membership._incarnation import new_incarnation
 from lovageshunt.membership._member import Member
 from lovageshunt.membership._messages import (
     Announcement,
     Bulletin,
-    ListNews,
     MembershipDigest,
     ServiceDigest,
+    VmListChange,
     wire_bytes,
 )
-from lovageshunt.membership._news import NO_NEWS
+from lovageshunt.membership._platform_answer import AGE_UNKNOWN
 from lovageshunt.membership._settings import MembershipSettings
 from lovageshunt.membership._view import MembershipView
 from lovageshunt.membership._vms import ListedVm, VmList, VmState
 
 __all__ = [
-    'Announce',
+    'SendBulletin',
     'Announcement',
     'Bulletin',
     'BulletinReceived',
@@ -51,13 +51,13 @@
     'ElectionSettings',
     'EpochClock',
     'LeaveStarted',
-    'ListNews',
-    'ListNewsHeard',
-    'ListRead',
-    'ListReadFailed',
+    'VmListChange',
+    'VmListChangeReceived',
+    'VmListReceived',
+    'VmListReadFailed',
     'ListedVm',
     'Member',
-    'NO_NEWS',
+    'AGE_UNKNOWN',
     'MembersChanged',
     'MembershipDigest',
     'MembershipSettings',
@@ -68,13 +68,13 @@
     'PeerAnnounced',
     'PeerAnswered',
     'PeerSilent',
-    'Picture',
+    'StampedInputs',
     'Probe',
-    'ReadList',
+    'ReadVmList',
     'ReaderElection',
     'SendDigest',
     'ServiceDigest',
-    'Ticked',
+    'MembershipTicked',
     'VmList',
     'VmState',
     'new_incarnation',
--- a/src/lovageshunt/node/control/_fleet_view.py
+++ b/src/lovageshunt/node/control/_fleet_view.py
@@ -8,11 +8,8 @@
 from lovageshunt._record import Record
 from lovageshunt.clock import now
 from lovageshunt.membership import (
-    Announce,
     Announcement,
     LeaveStarted,
-    ListRead,
-    ListReadFailed,
     Member,
     MembersChanged,
     MembershipView,
@@ -20,8 +17,11 @@
     Peer,
     Probe,
     ReaderElection,
-    ReadList,
+    ReadVmList,
+    SendBulletin,
     SendDigest,
+    VmListReadFailed,
+    VmListReceived,
 )
 from lovageshunt.node.control._identity import Identity
 from lovageshunt.node.control._outbox import Outbox
@@ -69,10 +69,10 @@
         # The election takes each event first: the view answers a digest, and
         # may pass over what only the election must know.
         self._perform(self._election.handle(event, at))
-        if isinstance(event, ListReadFailed):
+        if isinstance(event, VmListReadFailed):
             return
         self._perform(self._view.handle(event, at))
-        self._has_list = self._has_list or isinstance(event, ListRead)
+        self._has_list = self._has_list or isinstance(event, VmListReceived)
         # An incarnation changes without any change of who the members are,
         # so the run-once table's peers are brought up to date every time.
         self._update_peers(at)
@@ -93,7 +93,7 @@
 
         Negative while it is not known to have.
         """
-        return self._election.news_age_seconds(now())
+        return self._election.platform_answer_age_seconds(now())
 
     @property
     def readers(self) -> list[str]:
@@ -111,7 +111,7 @@
     def ingress_address(self, node: str) -> str | None:
         """Return where a node of the own service takes calls."""
         service = self._identity.service
-        known = (*self.members(service), *self._view.lately_departed(service))
+        known = (*self.members(service), *self._view.recently_departed(service))
         for member in known:
             if member.name == node:
                 return member.address
@@ -123,7 +123,7 @@
         service = self._identity.service
         self.peers.update(
             self._view.members_of(service),
-            self._view.lately_departed(service),
+            self._view.recently_departed(service),
             at,
         )
 
@@ -136,7 +136,7 @@
         _log.error('no way to carry out %r', action)
 
     @_act.register
-    def _announce(self, action: Announce) -> None:
+    def _announce(self, action: SendBulletin) -> None:
         self._outbox.know(action.peer.name, action.peer.address)
         self._outbox.to(action.peer.name).bulletins.append(action.bulletin)
 
@@ -159,7 +159,7 @@
         self.leave()
 
     @_act.register
-    def _read_list(self, action: ReadList) -> None:
+    def _read_list(self, action: ReadVmList) -> None:
         self.read_platform(action.is_watch)
 
 
--- a/tests/membership/builders.py
+++ b/tests/membership/builders.py
@@ -1,11 +1,11 @@
-"""Makes the messages that the tests of membership share."""
+"""Builders of membership messages and events for the tests."""
 
 from lovageshunt.membership import (
     Announcement,
     ListedVm,
-    ListRead,
     PeerAnnounced,
     VmList,
+    VmListReceived,
     VmState,
 )
 
@@ -16,7 +16,7 @@
     *,
     failure_domain: str = 'fd1',
 ) -> ListedVm:
-    """Return an entry of the list for a VM of the service records."""
+    """Return a VM list entry of the service ``records``."""
     return ListedVm(
         name=name,
         service='records',
@@ -28,7 +28,7 @@
     )
 
 
-def said(
+def announcement_of(
     name: str,
     incarnation: str = '1',
     *,
@@ -36,7 +36,7 @@
     age_ms: int = 0,
     service: str = 'records',
 ) -> Announcement:
-    """Return an announcement by a VM of the service records."""
+    """Return an announcement by a VM, by default of the service ``records``."""
     return Announcement(
         name=name,
         service=service,
@@ -50,7 +50,7 @@
     )
 
 
-def word(
+def peer_announced(
     name: str,
     incarnation: str = '1',
     *,
@@ -58,7 +58,7 @@
     age_ms: int = 0,
 ) -> PeerAnnounced:
     """Return the event that an announcement arrived."""
-    announcement = said(
+    announcement = announcement_of(
         name,
         incarnation,
         is_leaving=is_leaving,
@@ -67,6 +67,6 @@
     return PeerAnnounced(announcement)
 
 
-def reading_of(revision: int, *vms: ListedVm) -> ListRead:
-    """Return the event that the list was read."""
-    return ListRead(VmList(revision=revision, vms=list(vms)))
+def list_received(revision: int, *vms: ListedVm) -> VmListReceived:
+    """Return the event that the VM list was received."""
+    return VmListReceived(VmList(revision=revision, vms=list(vms)))
