--- a/src/lovageshunt/client/_view.py
+++ b/src/lovageshunt/client/_view.py
@@ -11,7 +11,7 @@
     KindRule,
     ServiceRules,
     decode_parts,
-    default_kind,
+    default_rule,
     encode_parts,
 )
 
@@ -43,7 +43,7 @@
         """Return the rule of a request, or the cautious default."""
         rules = self.rules_by_service.get(service)
         rule = rules.kind_for(method, path) if rules else None
-        return rule or default_kind(service, method, path)
+        return rule or default_rule(service, method, path)
 
 
 EMPTY_VIEW: Final = View(
--- a/src/lovageshunt/rules/__init__.py
+++ b/src/lovageshunt/rules/__init__.py
@@ -8,7 +8,7 @@
     encode_parts,
 )
 from lovageshunt.rules._conflicts import Conflict
-from lovageshunt.rules._defaults import DEFAULT_KIND, default_kind
+from lovageshunt.rules._defaults import DEFAULT_KIND, default_rule
 from lovageshunt.rules._document import (
     ANY_METHOD,
     KindRule,
@@ -80,7 +80,7 @@
     'decode_document',
     'decode_message',
     'decode_parts',
-    'default_kind',
+    'default_rule',
     'encode_document',
     'encode_parts',
     'encode_message',
--- a/src/lovageshunt/rules/_defaults.py
+++ b/src/lovageshunt/rules/_defaults.py
@@ -15,7 +15,7 @@
 SAFE_METHODS: Final = frozenset(('GET', 'HEAD'))
 
 
-def default_kind(service: str, method: str, path: str) -> KindRule:
+def default_rule(service: str, method: str, path: str) -> KindRule:
     """Return the cautious rule for a request that no rule names.
 
     Nothing but reads may be repeated, and all of it is refused before
--- a/src/lovageshunt/rules/_in_force.py
+++ b/src/lovageshunt/rules/_in_force.py
@@ -5,7 +5,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.rules._conflicts import Conflict, ConflictLog
-from lovageshunt.rules._defaults import default_kind
+from lovageshunt.rules._defaults import default_rule
 from lovageshunt.rules._document import KindRule, RulesDocument, ServiceRules
 from lovageshunt.rules._version import Manifest, Version, manifest_of
 
@@ -90,7 +90,7 @@
         rule = None
         if self.current is not None and service in self.current.by_service:
             rule = self.current.by_service[service].kind_for(method, path)
-        return rule or default_kind(service, method, path)
+        return rule or default_rule(service, method, path)
 
     def offer(
         self,
--- a/tests/node/serving/test_calls.py
+++ b/tests/node/serving/test_calls.py
@@ -16,7 +16,7 @@
 from lovageshunt.node.serving._border import Admissible
 from lovageshunt.node.serving._calls import Calls
 from lovageshunt.node.serving._target import TargetReply
-from lovageshunt.rules import default_kind
+from lovageshunt.rules import default_rule
 
 
 class ForwardingGate:
@@ -68,7 +68,7 @@
         rank=1,
         timeout_ms=1000,
     )
-    rule = default_kind('records', 'GET', '/')
+    rule = default_rule('records', 'GET', '/')
     rule.is_repeatable = True
     call = calls.begin(
         Inbound(method='GET', path='/', target='/', headers={}, body=b''),
--- a/tests/rules/test_document.py
+++ b/tests/rules/test_document.py
@@ -13,7 +13,7 @@
     ServiceRules,
     Version,
     decode_document,
-    default_kind,
+    default_rule,
     encode_document,
 )
 
@@ -85,7 +85,7 @@
         """Without a rule only reads are repeatable."""
         rule = RulesInForce().kind_for('payments', method, '/tokens')
 
-        assert rule == default_kind('payments', method, '/tokens')
+        assert rule == default_rule('payments', method, '/tokens')
         assert rule.kind == DEFAULT_KIND
         assert rule.is_repeatable is is_repeatable
 
