--- a/bench/spread.py
+++ b/bench/spread.py
@@ -16,10 +16,10 @@
     MessageReceived,
     ReadDocument,
     RulesDocument,
+    RulesGossip,
     RulesInForce,
     SendMessage,
     ServiceRules,
-    Spread,
     SpreadEvent,
     SpreadSettings,
     SpreadTicked,
@@ -105,7 +105,7 @@
         self._loss = loss
         self._order = count()
         self._queue: list[tuple[float, int, str, SpreadEvent | None]] = []
-        self.node_by_name: dict[str, Spread] = {}
+        self.node_by_name: dict[str, RulesGossip] = {}
         self._services_by_name: dict[str, list[str]] = {}
         self._names_by_service: dict[str, list[str]] = {}
         self.readers: list[str] = []
@@ -159,7 +159,7 @@
         self._services_by_name[name] = services
         members = self._names_by_service.setdefault(services[0], [])
         members.append(name)
-        self.node_by_name[name] = Spread(
+        self.node_by_name[name] = RulesGossip(
             Random(self._rng.random()),
             SpreadSettings(name=name),
             RulesInForce(frozenset(services)),
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -28,9 +28,9 @@
     DocumentRead,
     MessageReceived,
     ReadDocument,
+    RulesGossip,
     RulesInForce,
     SendMessage,
-    Spread,
     SpreadEvent,
     SpreadSettings,
     SpreadTicked,
@@ -63,7 +63,7 @@
         self._outbox.heard = self.heard
         #: Called to read the rules from the platform once.
         self.read_rules: Callable[[], None] = _no_read
-        self._spread = Spread(
+        self._spread = RulesGossip(
             rng,
             SpreadSettings(name=identity.name),
             self.rules,
--- a/src/lovageshunt/rules/__init__.py
+++ b/src/lovageshunt/rules/__init__.py
@@ -36,7 +36,7 @@
 )
 from lovageshunt.rules._sheet import Sheet, parse_sheet
 from lovageshunt.rules._sheet_fault import SheetFault
-from lovageshunt.rules._spread import Spread
+from lovageshunt.rules._spread import RulesGossip
 from lovageshunt.rules._spread_settings import SpreadSettings
 from lovageshunt.rules._version import (
     Manifest,
@@ -69,7 +69,7 @@
     'ServiceRules',
     'Sheet',
     'SheetFault',
-    'Spread',
+    'RulesGossip',
     'SpreadAction',
     'SpreadEvent',
     'SpreadSettings',
--- a/src/lovageshunt/rules/_spread.py
+++ b/src/lovageshunt/rules/_spread.py
@@ -28,7 +28,7 @@
 from lovageshunt.rules._spread_settings import SpreadSettings
 
 
-class Spread:
+class RulesGossip:
     """One node's part in the spread; ``rules`` is what it serves under."""
 
     __slots__ = (
--- a/tests/rules/test_first_read.py
+++ b/tests/rules/test_first_read.py
@@ -5,8 +5,8 @@
 from lovageshunt.rules import (
     MessageReceived,
     ReadDocument,
+    RulesGossip,
     RulesInForce,
-    Spread,
     SpreadSettings,
     SpreadTicked,
     VersionTold,
@@ -43,7 +43,7 @@
 
 def make_node(seed=1):
     """Return a node that has no rules."""
-    return Spread(
+    return RulesGossip(
         Random(seed),
         SpreadSettings(name='a', read_seconds=SECONDS),
         RulesInForce(frozenset(SERVICES)),
--- a/tests/rules/test_spread.py
+++ b/tests/rules/test_spread.py
@@ -22,10 +22,10 @@
     PartsAsked,
     RulesChanged,
     RulesDocument,
+    RulesGossip,
     RulesInForce,
     SendMessage,
     ServiceRules,
-    Spread,
     SpreadSettings,
     SpreadTicked,
     VersionTold,
@@ -94,7 +94,7 @@
 
     def start(self, name):
         """Start a node with an empty memory."""
-        self.by_name[name] = Spread(
+        self.by_name[name] = RulesGossip(
             Random(name),
             SpreadSettings(name=name, bytes_per_second=1e6),
             RulesInForce(NEEDS[name]),
@@ -223,7 +223,7 @@
 
     def test_bursts_are_bounded(self):
         """Messages over the budget wait until it is earned."""
-        node = Spread(
+        node = RulesGossip(
             Random(1),
             SpreadSettings(name='a', bytes_per_second=100, burst_bytes=300),
             RulesInForce(),
