--- a/bench/spread.py
+++ b/bench/spread.py
@@ -17,11 +17,11 @@
     ReadDocument,
     RulesDocument,
     RulesGossip,
+    RulesGossipSettings,
     RulesInForce,
     SendMessage,
     ServiceRules,
     SpreadEvent,
-    SpreadSettings,
     SpreadTicked,
     manifest_of,
     version_of,
@@ -161,7 +161,7 @@
         members.append(name)
         self.node_by_name[name] = RulesGossip(
             Random(self._rng.random()),
-            SpreadSettings(name=name),
+            RulesGossipSettings(name=name),
             RulesInForce(frozenset(services)),
         )
         if not self._is_cold:
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -29,10 +29,10 @@
     MessageReceived,
     ReadDocument,
     RulesGossip,
+    RulesGossipSettings,
     RulesInForce,
     SendMessage,
     SpreadEvent,
-    SpreadSettings,
     SpreadTicked,
 )
 
@@ -65,7 +65,7 @@
         self.read_rules: Callable[[], None] = _no_read
         self._spread = RulesGossip(
             rng,
-            SpreadSettings(name=identity.name),
+            RulesGossipSettings(name=identity.name),
             self.rules,
         )
 
--- a/src/lovageshunt/rules/__init__.py
+++ b/src/lovageshunt/rules/__init__.py
@@ -37,7 +37,7 @@
 from lovageshunt.rules._sheet import Sheet, parse_sheet
 from lovageshunt.rules._sheet_fault import SheetFault
 from lovageshunt.rules._spread import RulesGossip
-from lovageshunt.rules._spread_settings import SpreadSettings
+from lovageshunt.rules._spread_settings import RulesGossipSettings
 from lovageshunt.rules._version import (
     Manifest,
     Version,
@@ -72,7 +72,7 @@
     'RulesGossip',
     'SpreadAction',
     'SpreadEvent',
-    'SpreadSettings',
+    'RulesGossipSettings',
     'SpreadTicked',
     'Verdict',
     'Version',
--- a/src/lovageshunt/rules/_dialogue.py
+++ b/src/lovageshunt/rules/_dialogue.py
@@ -16,7 +16,7 @@
 )
 from lovageshunt.rules._outbox import Outbox
 from lovageshunt.rules._sources import Sources
-from lovageshunt.rules._spread_settings import SpreadSettings
+from lovageshunt.rules._spread_settings import RulesGossipSettings
 from lovageshunt.rules._version import Manifest, Version
 
 
@@ -36,7 +36,7 @@
     def __init__(
         self,
         rng: Random,
-        settings: SpreadSettings,
+        settings: RulesGossipSettings,
         rules: RulesInForce,
         outbox: Outbox,
     ) -> None:
--- a/src/lovageshunt/rules/_spread.py
+++ b/src/lovageshunt/rules/_spread.py
@@ -25,7 +25,7 @@
 from lovageshunt.rules._outbox import Outbox
 from lovageshunt.rules._pace import Pace
 from lovageshunt.rules._settling import Settling
-from lovageshunt.rules._spread_settings import SpreadSettings
+from lovageshunt.rules._spread_settings import RulesGossipSettings
 
 
 class RulesGossip:
@@ -46,7 +46,7 @@
     def __init__(
         self,
         rng: Random,
-        settings: SpreadSettings,
+        settings: RulesGossipSettings,
         rules: RulesInForce,
     ) -> None:
         """Start without peers; the first tick brings them."""
--- a/src/lovageshunt/rules/_spread_settings.py
+++ b/src/lovageshunt/rules/_spread_settings.py
@@ -3,7 +3,7 @@
 from lovageshunt._record import Record
 
 
-class SpreadSettings(Record):
+class RulesGossipSettings(Record):
     """How one node takes part.
 
     ``fanout`` peers are told a new version at once; every
--- a/tests/rules/test_first_read.py
+++ b/tests/rules/test_first_read.py
@@ -6,8 +6,8 @@
     MessageReceived,
     ReadDocument,
     RulesGossip,
+    RulesGossipSettings,
     RulesInForce,
-    SpreadSettings,
     SpreadTicked,
     VersionTold,
     manifest_of,
@@ -45,7 +45,7 @@
     """Return a node that has no rules."""
     return RulesGossip(
         Random(seed),
-        SpreadSettings(name='a', read_seconds=SECONDS),
+        RulesGossipSettings(name='a', read_seconds=SECONDS),
         RulesInForce(frozenset(SERVICES)),
     )
 
--- a/tests/rules/test_spread.py
+++ b/tests/rules/test_spread.py
@@ -23,10 +23,10 @@
     RulesChanged,
     RulesDocument,
     RulesGossip,
+    RulesGossipSettings,
     RulesInForce,
     SendMessage,
     ServiceRules,
-    SpreadSettings,
     SpreadTicked,
     VersionTold,
     decode_message,
@@ -96,7 +96,7 @@
         """Start a node with an empty memory."""
         self.by_name[name] = RulesGossip(
             Random(name),
-            SpreadSettings(name=name, bytes_per_second=1e6),
+            RulesGossipSettings(name=name, bytes_per_second=1e6),
             RulesInForce(NEEDS[name]),
         )
 
@@ -225,7 +225,9 @@
         """Messages over the budget wait until it is earned."""
         node = RulesGossip(
             Random(1),
-            SpreadSettings(name='a', bytes_per_second=100, burst_bytes=300),
+            RulesGossipSettings(
+                name='a', bytes_per_second=100, burst_bytes=300
+            ),
             RulesInForce(),
         )
         node.handle(read_of(1), 0)
