--- a/bench/spread.py
+++ b/bench/spread.py
@@ -17,11 +17,11 @@
     ReadDocument,
     RulesDocument,
     RulesGossip,
+    RulesGossipEvent,
     RulesGossipSettings,
     RulesInForce,
     SendMessage,
     ServiceRules,
-    SpreadEvent,
     SpreadTicked,
     manifest_of,
     version_of,
@@ -104,7 +104,7 @@
         self._first = document_of(1, self.services)
         self._loss = loss
         self._order = count()
-        self._queue: list[tuple[float, int, str, SpreadEvent | None]] = []
+        self._queue: list[tuple[float, int, str, RulesGossipEvent | None]] = []
         self.node_by_name: dict[str, RulesGossip] = {}
         self._services_by_name: dict[str, list[str]] = {}
         self._names_by_service: dict[str, list[str]] = {}
@@ -187,7 +187,7 @@
             readers=self.readers,
         )
 
-    def _take(self, name: str, event: SpreadEvent) -> None:
+    def _take(self, name: str, event: RulesGossipEvent) -> None:
         for action in self.node_by_name[name].handle(event, self.now):
             if isinstance(action, SendMessage):
                 self._send(name, action)
@@ -212,7 +212,7 @@
         self,
         delay: float,
         name: str,
-        event: SpreadEvent | None,
+        event: RulesGossipEvent | None,
     ) -> None:
         entry = (self.now + delay, next(self._order), name, event)
         heappush(self._queue, entry)
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -29,10 +29,10 @@
     MessageReceived,
     ReadDocument,
     RulesGossip,
+    RulesGossipEvent,
     RulesGossipSettings,
     RulesInForce,
     SendMessage,
-    SpreadEvent,
     SpreadTicked,
 )
 
@@ -179,7 +179,7 @@
             routes.append(_route_of(own))
         return routes
 
-    def _spread_event(self, event: SpreadEvent) -> None:
+    def _spread_event(self, event: RulesGossipEvent) -> None:
         for action in self._spread.handle(event, now()):
             if isinstance(action, SendMessage):
                 self._outbox.to(action.peer).rules.append(action.message)
--- a/src/lovageshunt/rules/__init__.py
+++ b/src/lovageshunt/rules/__init__.py
@@ -20,9 +20,9 @@
     MessageReceived,
     ReadDocument,
     RulesChanged,
+    RulesGossipEvent,
     SendMessage,
     SpreadAction,
-    SpreadEvent,
     SpreadTicked,
 )
 from lovageshunt.rules._in_force import Offer, RulesInForce, Verdict
@@ -71,7 +71,7 @@
     'SheetFault',
     'RulesGossip',
     'SpreadAction',
-    'SpreadEvent',
+    'RulesGossipEvent',
     'RulesGossipSettings',
     'SpreadTicked',
     'Verdict',
--- a/src/lovageshunt/rules/_events.py
+++ b/src/lovageshunt/rules/_events.py
@@ -81,6 +81,6 @@
 
 
 #: What the spread of rules may be told.
-SpreadEvent = DocumentRead | MessageReceived | SpreadTicked
+RulesGossipEvent = DocumentRead | MessageReceived | SpreadTicked
 #: What the spread of rules may ask for.
 SpreadAction = SendMessage | ReadDocument | RulesChanged
--- a/src/lovageshunt/rules/_spread.py
+++ b/src/lovageshunt/rules/_spread.py
@@ -15,8 +15,8 @@
     MessageReceived,
     ReadDocument,
     RulesChanged,
+    RulesGossipEvent,
     SpreadAction,
-    SpreadEvent,
     SpreadTicked,
 )
 from lovageshunt.rules._first_read import FirstRead
@@ -71,7 +71,7 @@
         """Return the bytes sent since the start."""
         return self._outbox.sent_bytes
 
-    def handle(self, event: SpreadEvent, now: float) -> list[SpreadAction]:
+    def handle(self, event: RulesGossipEvent, now: float) -> list[SpreadAction]:
         """Take an event and return what follows from it."""
         before = self.rules.version
         self._take(event, now)
