--- a/src/lovageshunt/rules/__init__.py
+++ b/src/lovageshunt/rules/__init__.py
@@ -20,9 +20,9 @@
     MessageReceived,
     ReadDocument,
     RulesChanged,
+    RulesGossipAction,
     RulesGossipEvent,
     SendMessage,
-    SpreadAction,
     SpreadTicked,
 )
 from lovageshunt.rules._in_force import Offer, RulesInForce, Verdict
@@ -70,7 +70,7 @@
     'Sheet',
     'SheetFault',
     'RulesGossip',
-    'SpreadAction',
+    'RulesGossipAction',
     'RulesGossipEvent',
     'RulesGossipSettings',
     'SpreadTicked',
--- a/src/lovageshunt/rules/_events.py
+++ b/src/lovageshunt/rules/_events.py
@@ -83,4 +83,4 @@
 #: What the spread of rules may be told.
 RulesGossipEvent = DocumentRead | MessageReceived | SpreadTicked
 #: What the spread of rules may ask for.
-SpreadAction = SendMessage | ReadDocument | RulesChanged
+RulesGossipAction = SendMessage | ReadDocument | RulesChanged
--- a/src/lovageshunt/rules/_spread.py
+++ b/src/lovageshunt/rules/_spread.py
@@ -15,8 +15,8 @@
     MessageReceived,
     ReadDocument,
     RulesChanged,
+    RulesGossipAction,
     RulesGossipEvent,
-    SpreadAction,
     SpreadTicked,
 )
 from lovageshunt.rules._first_read import FirstRead
@@ -71,11 +71,13 @@
         """Return the bytes sent since the start."""
         return self._outbox.sent_bytes
 
-    def handle(self, event: RulesGossipEvent, now: float) -> list[SpreadAction]:
+    def handle(
+        self, event: RulesGossipEvent, now: float
+    ) -> list[RulesGossipAction]:
         """Take an event and return what follows from it."""
         before = self.rules.version
         self._take(event, now)
-        actions: list[SpreadAction] = []
+        actions: list[RulesGossipAction] = []
         actions.extend(self._outbox.take(now))
         if self._first_read.is_due(self.rules, now):
             actions.append(ReadDocument())
