--- a/bench/spread.py
+++ b/bench/spread.py
@@ -19,10 +19,10 @@
     RulesGossip,
     RulesGossipEvent,
     RulesGossipSettings,
+    RulesGossipTicked,
     RulesInForce,
     SendMessage,
     ServiceRules,
-    SpreadTicked,
     manifest_of,
     version_of,
 )
@@ -174,11 +174,11 @@
         parts = {name: document.by_service[name] for name in services}
         rules.offer_parts(manifest, parts, 0)
 
-    def _tick(self, name: str) -> SpreadTicked:
+    def _tick(self, name: str) -> RulesGossipTicked:
         self._later(_TICK_SECONDS, name, None)
         names = list(self.node_by_name)
         count_drawn = min(_CANDIDATES, len(names))
-        return SpreadTicked(
+        return RulesGossipTicked(
             peers=self._rng.sample(names, count_drawn),
             peers_by_service={
                 service: self._names_by_service.get(service, [])
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -31,9 +31,9 @@
     RulesGossip,
     RulesGossipEvent,
     RulesGossipSettings,
+    RulesGossipTicked,
     RulesInForce,
     SendMessage,
-    SpreadTicked,
 )
 
 #: Peers that rules are exchanged with in one turn.
@@ -73,7 +73,7 @@
         """Let time pass, then send what has gathered."""
         self.fleet.tell(Ticked())
         peers = self.fleet.exchange_peers(_EXCHANGE_PEERS)
-        ticked = SpreadTicked(
+        ticked = RulesGossipTicked(
             peers=[peer.name for peer in peers],
             peers_by_service={
                 service: [member.name for member in self.members(service)]
--- a/src/lovageshunt/rules/__init__.py
+++ b/src/lovageshunt/rules/__init__.py
@@ -22,8 +22,8 @@
     RulesChanged,
     RulesGossipAction,
     RulesGossipEvent,
+    RulesGossipTicked,
     SendMessage,
-    SpreadTicked,
 )
 from lovageshunt.rules._in_force import Offer, RulesInForce, Verdict
 from lovageshunt.rules._messages import (
@@ -73,7 +73,7 @@
     'RulesGossipAction',
     'RulesGossipEvent',
     'RulesGossipSettings',
-    'SpreadTicked',
+    'RulesGossipTicked',
     'Verdict',
     'Version',
     'VersionTold',
--- a/src/lovageshunt/rules/_dialogue.py
+++ b/src/lovageshunt/rules/_dialogue.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from lovageshunt.rules._delta import manifest_told, tell_changes, tell_whole
-from lovageshunt.rules._events import DocumentRead, SpreadTicked
+from lovageshunt.rules._events import DocumentRead, RulesGossipTicked
 from lovageshunt.rules._in_force import RulesInForce, Verdict
 from lovageshunt.rules._messages import (
     ManifestAsked,
@@ -41,7 +41,7 @@
         outbox: Outbox,
     ) -> None:
         """Start without peers; ``ticked`` brings them."""
-        self.ticked = SpreadTicked(peers=())
+        self.ticked = RulesGossipTicked(peers=())
         self._rng = rng
         self._settings = settings
         self._rules = rules
--- a/src/lovageshunt/rules/_events.py
+++ b/src/lovageshunt/rules/_events.py
@@ -30,7 +30,7 @@
         self.message = message
 
 
-class SpreadTicked(Record):
+class RulesGossipTicked(Record):
     """The timer turned; twice a second is enough.
 
     ``peers`` are candidates for the exchange and ``peers_by_service`` the
@@ -81,6 +81,6 @@
 
 
 #: What the spread of rules may be told.
-RulesGossipEvent = DocumentRead | MessageReceived | SpreadTicked
+RulesGossipEvent = DocumentRead | MessageReceived | RulesGossipTicked
 #: What the spread of rules may ask for.
 RulesGossipAction = SendMessage | ReadDocument | RulesChanged
--- a/src/lovageshunt/rules/_sources.py
+++ b/src/lovageshunt/rules/_sources.py
@@ -4,7 +4,7 @@
 from random import Random
 from typing import Final
 
-from lovageshunt.rules._events import SpreadTicked
+from lovageshunt.rules._events import RulesGossipTicked
 
 #: How many of those who told a version are remembered.
 _MAX_TELLERS: Final = 4
@@ -57,7 +57,7 @@
     def choose(
         self,
         services: Sequence[str],
-        ticked: SpreadTicked,
+        ticked: RulesGossipTicked,
     ) -> dict[str, list[str]]:
         """Return the services to ask for, by the peer to ask.
 
--- a/src/lovageshunt/rules/_spread.py
+++ b/src/lovageshunt/rules/_spread.py
@@ -17,7 +17,7 @@
     RulesChanged,
     RulesGossipAction,
     RulesGossipEvent,
-    SpreadTicked,
+    RulesGossipTicked,
 )
 from lovageshunt.rules._first_read import FirstRead
 from lovageshunt.rules._in_force import RulesInForce
@@ -104,7 +104,7 @@
         self._dialogue.take(event.message, event.peer, now)
 
     @_take.register
-    def _take_tick(self, event: SpreadTicked, now: float) -> None:
+    def _take_tick(self, event: RulesGossipTicked, now: float) -> None:
         self._dialogue.ticked = event
         if not self._settling.is_over:
             self._settle(now)
--- a/tests/rules/test_first_read.py
+++ b/tests/rules/test_first_read.py
@@ -7,8 +7,8 @@
     ReadDocument,
     RulesGossip,
     RulesGossipSettings,
+    RulesGossipTicked,
     RulesInForce,
-    SpreadTicked,
     VersionTold,
     manifest_of,
 )
@@ -36,7 +36,7 @@
     asked = []
     for tenth in range(seconds * 10):
         now = tenth / 10
-        actions = node.handle(SpreadTicked(peers=('b', 'c')), now)
+        actions = node.handle(RulesGossipTicked(peers=('b', 'c')), now)
         asked += [now for action in actions if isinstance(action, ReadDocument)]
     return asked
 
--- a/tests/rules/test_sources.py
+++ b/tests/rules/test_sources.py
@@ -2,12 +2,12 @@
 
 from random import Random
 
-from lovageshunt.rules import SpreadTicked
+from lovageshunt.rules import RulesGossipTicked
 from lovageshunt.rules._pace import Pace
 from lovageshunt.rules._sources import Sources
 
 MEMBERS = ['a', 'b', 'c', 'd']
-TICKED = SpreadTicked(
+TICKED = RulesGossipTicked(
     peers=(),
     peers_by_service={'stock': MEMBERS},
     readers=['r', 's'],
@@ -44,7 +44,7 @@
         sources = Sources(Random(1), 'x')
         sources.start('r')
 
-        chosen = sources.choose(['stock'], SpreadTicked(peers=()))
+        chosen = sources.choose(['stock'], RulesGossipTicked(peers=()))
 
         assert chosen == {'r': ['stock']}
 
--- a/tests/rules/test_spread.py
+++ b/tests/rules/test_spread.py
@@ -24,10 +24,10 @@
     RulesDocument,
     RulesGossip,
     RulesGossipSettings,
+    RulesGossipTicked,
     RulesInForce,
     SendMessage,
     ServiceRules,
-    SpreadTicked,
     VersionTold,
     decode_message,
     encode_message,
@@ -116,7 +116,9 @@
             for service in NEEDS[name]
         }
         peers = list(self.by_name)
-        self.take(name, SpreadTicked(peers=peers, peers_by_service=members))
+        self.take(
+            name, RulesGossipTicked(peers=peers, peers_by_service=members)
+        )
 
     def deliver(self, place):
         """Deliver one of the waiting messages, unless the line is cut."""
@@ -231,13 +233,13 @@
             RulesInForce(),
         )
         node.handle(read_of(1), 0)
-        node.handle(SpreadTicked(peers=()), 0)
-        node.handle(SpreadTicked(peers=()), 2)
+        node.handle(RulesGossipTicked(peers=()), 0)
+        node.handle(RulesGossipTicked(peers=()), 2)
         for peer in range(50):
             asked = MessageReceived(peer=str(peer), message=ManifestAsked())
             node.handle(asked, 2)
         early = node.sent_bytes
-        node.handle(SpreadTicked(peers=()), 20)
+        node.handle(RulesGossipTicked(peers=()), 20)
 
         assert early < 300 + 600
         assert early < node.sent_bytes < early + 1800 + 600
