--- a/src/lovageshunt/rules/__init__.py
+++ b/src/lovageshunt/rules/__init__.py
@@ -25,7 +25,7 @@
     RulesGossipTicked,
     SendMessage,
 )
-from lovageshunt.rules._in_force import Offer, RulesInForce, Verdict
+from lovageshunt.rules._in_force import OfferResult, RulesInForce, Verdict
 from lovageshunt.rules._messages import (
     ManifestAsked,
     ManifestTold,
@@ -59,7 +59,7 @@
     'Message',
     'MessageReceived',
     'ReadDocument',
-    'Offer',
+    'OfferResult',
     'PartsAsked',
     'PartsTold',
     'RulesChanged',
--- a/src/lovageshunt/rules/_in_force.py
+++ b/src/lovageshunt/rules/_in_force.py
@@ -25,7 +25,7 @@
     UNSOUND = 'unsound'
 
 
-class Offer(Record):
+class OfferResult(Record):
     """The result of an offer; ``is_conflict`` when two share a generation."""
 
     __slots__ = ('verdict', 'version', 'is_conflict')
@@ -97,12 +97,12 @@
         version: Version,
         document: RulesDocument,
         now: float,
-    ) -> Offer:
+    ) -> OfferResult:
         """Take a whole document, as read from the platform."""
         manifest = manifest_of(document, version)
         return self.offer_parts(manifest, document.by_service, now)
 
-    def hear(self, manifest: Manifest, now: float) -> Offer:
+    def hear(self, manifest: Manifest, now: float) -> OfferResult:
         """Take a manifest; from now on nothing older is adopted."""
         return self.offer_parts(manifest, {}, now)
 
@@ -111,13 +111,15 @@
         manifest: Manifest,
         parts: dict[str, ServiceRules],
         now: float,
-    ) -> Offer:
+    ) -> OfferResult:
         """Take a manifest with the rules of some of its services."""
         if not manifest.is_sound:
-            return Offer(verdict=Verdict.UNSOUND, version=manifest.version)
+            return OfferResult(
+                verdict=Verdict.UNSOUND, version=manifest.version
+            )
         is_conflict = self._log.compare(self.heard, manifest.version, now)
         verdict = self._verdict(manifest, parts, now)
-        return Offer(
+        return OfferResult(
             verdict=verdict,
             version=manifest.version,
             is_conflict=is_conflict,
