--- a/src/lovageshunt/rules/_dialogue.py
+++ b/src/lovageshunt/rules/_dialogue.py
@@ -128,7 +128,7 @@
         if verdict is Verdict.OLDER:
             self._tell_manifest(peer, message.version)
             return
-        if verdict is Verdict.UNSOUND:
+        if verdict is Verdict.INCONSISTENT:
             return
         self._pass_on_news(before, reader=message.reader, teller=peer)
         self._sources.note_reader(message.reader)
--- a/src/lovageshunt/rules/_in_force.py
+++ b/src/lovageshunt/rules/_in_force.py
@@ -15,14 +15,14 @@
 
     ``ADOPTED``: it is in force now. ``WAITING``: it is the greatest heard
     and parts of it are missing. ``SAME``: known already. ``OLDER``: a
-    greater one was heard. ``UNSOUND``: its digests contradict each other.
+    greater one was heard. ``INCONSISTENT``: its digests contradict each other.
     """
 
     ADOPTED = 'adopted'
     WAITING = 'waiting'
     SAME = 'same'
     OLDER = 'older'
-    UNSOUND = 'unsound'
+    INCONSISTENT = 'unsound'
 
 
 class OfferResult(Record):
@@ -115,7 +115,7 @@
         """Take a manifest with the rules of some of its services."""
         if not manifest.is_sound:
             return OfferResult(
-                verdict=Verdict.UNSOUND, version=manifest.version
+                verdict=Verdict.INCONSISTENT, version=manifest.version
             )
         is_conflict = self._log.compare(self.heard, manifest.version, now)
         verdict = self._verdict(manifest, parts, now)
--- a/tests/rules/test_in_force.py
+++ b/tests/rules/test_in_force.py
@@ -159,5 +159,5 @@
         manifest.digest_by_service['stock'] = '0'
         in_force = RulesInForce()
 
-        assert in_force.hear(manifest, 1).verdict == Verdict.UNSOUND
+        assert in_force.hear(manifest, 1).verdict == Verdict.INCONSISTENT
         assert in_force.heard is None
