--- a/src/lovageshunt/rules/__init__.py
+++ b/src/lovageshunt/rules/__init__.py
@@ -25,6 +25,8 @@
     RulesGossipTicked,
     SendMessage,
 )
+from lovageshunt.rules._gossip import RulesGossip
+from lovageshunt.rules._gossip_settings import RulesGossipSettings
 from lovageshunt.rules._in_force import OfferResult, RulesInForce, Verdict
 from lovageshunt.rules._messages import (
     ManifestAsked,
@@ -36,8 +38,6 @@
 )
 from lovageshunt.rules._sheet import Sheet, parse_sheet
 from lovageshunt.rules._sheet_fault import SheetFault
-from lovageshunt.rules._spread import RulesGossip
-from lovageshunt.rules._spread_settings import RulesGossipSettings
 from lovageshunt.rules._version import (
     Manifest,
     Version,
--- a/src/lovageshunt/rules/_spread.py
+++ b/src/lovageshunt/rules/_gossip.py
@@ -9,7 +9,6 @@
 from random import Random
 from typing import Any
 
-from lovageshunt.rules._dialogue import Dialogue
 from lovageshunt.rules._events import (
     DocumentRead,
     MessageReceived,
@@ -20,12 +19,13 @@
     RulesGossipTicked,
 )
 from lovageshunt.rules._first_read import FirstRead
+from lovageshunt.rules._gossip_settings import RulesGossipSettings
 from lovageshunt.rules._in_force import RulesInForce
 from lovageshunt.rules._messages import ManifestTold, VersionTold
-from lovageshunt.rules._outbox import Outbox
-from lovageshunt.rules._pace import Pace
-from lovageshunt.rules._settling import Settling
-from lovageshunt.rules._spread_settings import RulesGossipSettings
+from lovageshunt.rules._peer_exchange import Dialogue
+from lovageshunt.rules._request_interval import Pace
+from lovageshunt.rules._send_queue import Outbox
+from lovageshunt.rules._startup_hold import Settling
 
 
 class RulesGossip:
--- a/src/lovageshunt/rules/_dialogue.py
+++ b/src/lovageshunt/rules/_peer_exchange.py
@@ -4,9 +4,14 @@
 from random import Random
 from typing import Any
 
-from lovageshunt.rules._delta import manifest_told, tell_changes, tell_whole
 from lovageshunt.rules._events import DocumentRead, RulesGossipTicked
+from lovageshunt.rules._gossip_settings import RulesGossipSettings
 from lovageshunt.rules._in_force import RulesInForce, Verdict
+from lovageshunt.rules._manifest_messages import (
+    manifest_told,
+    tell_changes,
+    tell_whole,
+)
 from lovageshunt.rules._messages import (
     ManifestAsked,
     ManifestTold,
@@ -14,9 +19,8 @@
     PartsTold,
     VersionTold,
 )
-from lovageshunt.rules._outbox import Outbox
+from lovageshunt.rules._send_queue import Outbox
 from lovageshunt.rules._sources import Sources
-from lovageshunt.rules._spread_settings import RulesGossipSettings
 from lovageshunt.rules._version import Manifest, Version
 
 
--- a/src/lovageshunt/rules/_sheet.py
+++ b/src/lovageshunt/rules/_sheet.py
@@ -17,7 +17,7 @@
 from lovageshunt.rules._sheet_checks import NumberedRule, check_rules
 from lovageshunt.rules._sheet_columns import column_named
 from lovageshunt.rules._sheet_fault import SheetFault, whole_sheet_fault
-from lovageshunt.rules._sheet_lead import Lead, LeadReader
+from lovageshunt.rules._sheet_preamble import Lead, LeadReader
 from lovageshunt.rules._sheet_table import TableReader
 from lovageshunt.rules._sheet_text import Row, decode_sheet, rows_of
 
--- a/tests/rules/test_sources.py
+++ b/tests/rules/test_sources.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from lovageshunt.rules import RulesGossipTicked
-from lovageshunt.rules._pace import Pace
+from lovageshunt.rules._request_interval import Pace
 from lovageshunt.rules._sources import Sources
 
 MEMBERS = ['a', 'b', 'c', 'd']
