--- a/src/lovageshunt/rules/__init__.py
+++ b/src/lovageshunt/rules/__init__.py
@@ -1,4 +1,4 @@
-"""Rules that operators accept, their versions and the one in force."""
+"""Request rules: documents, versions, gossip between nodes and sheets."""
 
 from lovageshunt.rules._codec import (
     MAX_DOCUMENT_BYTES,
--- a/src/lovageshunt/rules/_codec.py
+++ b/src/lovageshunt/rules/_codec.py
@@ -1,4 +1,4 @@
-"""The JSON form of a document: what operators publish, what nodes pass on."""
+"""JSON encoding of rules documents and of the rules of single services."""
 
 from types import MappingProxyType
 from typing import Any, Final
@@ -10,7 +10,7 @@
 from lovageshunt.errors import MalformedRulesError
 from lovageshunt.rules._document import KindRule, RulesDocument, ServiceRules
 
-#: A document larger than this is refused unread; the platform holds no more.
+#: The largest document that the platform stores; larger input is not parsed.
 MAX_DOCUMENT_BYTES: Final = 1_000_000
 
 _RULE_TYPES: Final = MappingProxyType(
@@ -29,7 +29,7 @@
 
 
 def encode_document(document: RulesDocument) -> bytes:
-    """Return the document as canonical JSON."""
+    """Return the document as JSON with sorted keys."""
     content = {
         'deployment': document.deployment,
         'generation': document.generation,
@@ -41,9 +41,11 @@
 def decode_document(
     raw: bytes,
 ) -> Result[RulesDocument, MalformedRulesError]:
-    """Return the document in ``raw``, or why it is none."""
+    """Return the document in ``raw``, or the reason why it is malformed."""
     if len(raw) > MAX_DOCUMENT_BYTES:
-        return Error(MalformedRulesError(f'over {MAX_DOCUMENT_BYTES} bytes'))
+        return Error(
+            MalformedRulesError(f'larger than {MAX_DOCUMENT_BYTES} bytes')
+        )
     try:
         document = _document_of(orjson.loads(raw))
     except (KeyError, TypeError, ValueError) as error:
@@ -52,16 +54,16 @@
 
 
 def encode_parts(by_service: dict[str, ServiceRules]) -> dict[str, Any]:
-    """Return the rules of some services as plain content."""
+    """Return the rules by service and kind, ready for JSON."""
     return {
         service: rules.as_content() for service, rules in by_service.items()
     }
 
 
 def decode_parts(content: object) -> dict[str, ServiceRules]:
-    """Return the rules of some services.
+    """Return the rules of each service in decoded JSON content.
 
-    Raises ``KeyError``, ``TypeError`` or ``ValueError`` on anything else.
+    Raises ``KeyError``, ``TypeError`` or ``ValueError`` on invalid content.
     """
     return {
         service: _service_of(service, rules)
@@ -73,7 +75,7 @@
     fields = _mapping(content)
     generation = _typed(fields, 'generation', int)
     if generation < 1:
-        raise ValueError(f'generation is {generation}, below 1')
+        raise ValueError(f'generation must be at least 1, got {generation}')
     return RulesDocument(
         deployment=_typed(fields, 'deployment', str),
         generation=generation,
@@ -86,7 +88,10 @@
     for kind, fields in _mapping(content).items():
         rule = _rule_of(fields)
         if (rule.service, rule.kind) != (service, kind):
-            raise ValueError(f'{service}/{kind} names itself otherwise')
+            raise ValueError(
+                f'the rule at {service}/{kind} has service and kind '
+                f'{rule.service}/{rule.kind}',
+            )
         by_kind[kind] = rule
     return ServiceRules(service=service, by_kind=by_kind)
 
@@ -108,27 +113,39 @@
 def _check_ranges(rule: KindRule) -> None:
     for importance in (rule.importance, *rule.importance_by_caller.values()):
         if type(importance) is not int:
-            raise TypeError('importance is no whole number')
+            raise TypeError(
+                'importance must be an integer, '
+                f'got {type(importance).__name__}',
+            )
         if not TOP_IMPORTANCE <= importance <= LOWEST_IMPORTANCE:
-            raise ValueError(f'importance {importance} is out of range')
+            raise ValueError(
+                f'importance must be from {TOP_IMPORTANCE} to '
+                f'{LOWEST_IMPORTANCE}, got {importance}',
+            )
     if rule.timeout_ms < 1 or rule.retry_bound < 0:
-        raise ValueError('a timeout or retry bound is out of range')
+        raise ValueError(
+            'timeout_ms must be at least 1 and retry_bound at least 0, '
+            f'got {rule.timeout_ms} and {rule.retry_bound}',
+        )
 
 
 def _typed(fields: dict[str, Any], name: str, expected: type) -> Any:
     content = fields[name]
     if type(content) is not expected:
-        raise TypeError(f'{name} is no {expected.__name__}')
+        raise TypeError(
+            f'{name} must be of type {expected.__name__}, '
+            f'got {type(content).__name__}',
+        )
     return content
 
 
 def _mapping(content: object) -> dict[str, Any]:
     if not isinstance(content, dict):
-        raise TypeError('a JSON object was expected')
+        raise TypeError(f'expected a JSON object, got {type(content).__name__}')
     return content
 
 
 def _reason(error: Exception) -> str:
     if isinstance(error, KeyError):
-        return f'{error.args[0]} is missing'
+        return f'field {error.args[0]} is missing'
     return str(error)
--- a/src/lovageshunt/rules/_conflicts.py
+++ b/src/lovageshunt/rules/_conflicts.py
@@ -1,16 +1,20 @@
-"""Documents that share a generation, as operators who raced leave them."""
+"""Conflicts: different documents published with the same generation."""
 
 from typing import Final
 
 from lovageshunt._record import Record
 from lovageshunt.rules._version import Manifest, Version
 
-#: How many conflicts are kept on record.
+#: The oldest conflict is discarded beyond this number.
 _MAX_CONFLICTS: Final = 32
 
 
 class Conflict(Record):
-    """Two documents of one generation; the greater version won."""
+    """Two different documents of one generation.
+
+    ``winner`` is the greater version. ``seen_at`` is when the conflict was
+    detected, in seconds of the node's clock.
+    """
 
     __slots__ = ('winner', 'loser', 'seen_at')
 
@@ -21,48 +25,48 @@
         loser: Version,
         seen_at: float,
     ) -> None:
-        """Name both versions and when the second was heard."""
         self.winner = winner
         self.loser = loser
         self.seen_at = seen_at
 
 
 class ConflictLog:
-    """The latest conflicts, each pair of documents once."""
+    """Bounded log of the latest conflicts, one entry a pair of documents."""
 
     __slots__ = ('_by_digests',)
 
     def __init__(self) -> None:
-        """Start without any."""
         self._by_digests: dict[frozenset[str], Conflict] = {}
 
     @property
     def conflicts(self) -> tuple[Conflict, ...]:
-        """Return the conflicts, the oldest first."""
+        """Return the conflicts in the order of detection."""
         return tuple(self._by_digests.values())
 
-    def compare(
+    def record_if_conflict(
         self,
-        heard: Manifest | None,
+        latest: Manifest | None,
         version: Version,
         now: float,
     ) -> bool:
-        """Record a version that contradicts the one heard; say if it does."""
-        if heard is None or heard.version.generation != version.generation:
+        """Log ``version`` if it conflicts; return whether it does."""
+        if latest is None or latest.version.generation != version.generation:
             return False
-        known = heard.version
-        if known.digest == version.digest:
+        latest_version = latest.version
+        if latest_version.digest == version.digest:
             return False
-        self._record(known, version, now)
+        self._record(latest_version, version, now)
         return True
 
-    def _record(self, known: Version, version: Version, now: float) -> None:
-        digests = frozenset((known.digest, version.digest))
+    def _record(
+        self, latest_version: Version, version: Version, now: float
+    ) -> None:
+        digests = frozenset((latest_version.digest, version.digest))
         if digests in self._by_digests:
             return
         self._by_digests[digests] = Conflict(
-            winner=max(known, version),
-            loser=min(known, version),
+            winner=max(latest_version, version),
+            loser=min(latest_version, version),
             seen_at=now,
         )
         if len(self._by_digests) > _MAX_CONFLICTS:
--- a/src/lovageshunt/rules/_defaults.py
+++ b/src/lovageshunt/rules/_defaults.py
@@ -1,25 +1,26 @@
-"""What holds for a request that no rule names."""
+"""The rule for requests that no published rule matches."""
 
 from typing import Final
 
 from lovageshunt.calls import LOWEST_IMPORTANCE
 from lovageshunt.rules._document import KindRule
 
-#: The kind of a request that no rule names.
+#: The kind of a request that no published rule matches.
 DEFAULT_KIND: Final = 'default'
-#: How long such a request may take, in milliseconds.
+#: The timeout of such a request.
 DEFAULT_TIMEOUT_MS: Final = 2000
-#: How many retries the whole chain of such a request may spend.
+#: The retries allowed in the complete call chain of such a request.
 DEFAULT_RETRY_BOUND: Final = 1
-#: Only these methods are safe to repeat without a rule that says so.
+#: The only methods that are retried without a rule that permits it.
 SAFE_METHODS: Final = frozenset(('GET', 'HEAD'))
 
 
 def default_rule(service: str, method: str, path: str) -> KindRule:
-    """Return the cautious rule for a request that no rule names.
+    """Return a conservative rule for a request that no rule matches.
 
-    Nothing but reads may be repeated, and all of it is refused before
-    whatever the operators have named, but for the lowest importance.
+    Only reads may be repeated. Under overload these requests are refused
+    before all those that operators have classified, except for requests of
+    the lowest importance.
     """
     return KindRule(
         service=service,
--- a/src/lovageshunt/rules/_document.py
+++ b/src/lovageshunt/rules/_document.py
@@ -1,4 +1,4 @@
-"""The rules that operators accept: by service, then by kind of request."""
+"""Rules documents: the rules of each service, by kind of request."""
 
 from typing import Any, Final
 
@@ -7,23 +7,25 @@
 
 from lovageshunt._record import Record
 
-#: The method of a rule that names every method.
+#: The method of a rule that matches every method.
 ANY_METHOD: Final = '*'
 
 
 def digest_of(content: object) -> str:
-    """Return the digest of plain content, the same on every machine."""
+    """Return the digest of JSON content, which is equal on every machine."""
     canonical = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
     return xxh3_64_hexdigest(canonical)
 
 
 class KindRule(Record):
-    """What holds for one kind of request at one service.
-
-    ``method`` and the prefix ``path`` say which requests are of this kind.
-    ``importance`` runs from 0, refused last, to 7. A request that is not
-    ``is_repeatable`` runs at most once. ``timeout_ms`` bounds the wait for
-    the whole answer and ``retry_bound`` the retries of the whole chain.
+    """The rule for one kind of request at one service.
+
+    ``method`` and the prefix ``path`` select the requests of this kind.
+    ``importance`` ranges from 0, refused last, to 7, refused first;
+    ``importance_by_caller`` overrides it for single callers. A request that
+    is not ``is_repeatable`` runs at most once. ``timeout_ms`` limits the wait
+    for the complete answer, ``retry_bound`` the retries in the complete call
+    chain.
     """
 
     __slots__ = (
@@ -51,7 +53,6 @@
         retry_bound: int,
         importance_by_caller: dict[str, int] | None = None,
     ) -> None:
-        """Take every field by name."""
         self.service = service
         self.kind = kind
         self.method = method
@@ -63,11 +64,14 @@
         self.importance_by_caller = importance_by_caller or {}
 
     def importance_for(self, caller: str) -> int:
-        """Return the importance of this kind when this caller sends it."""
+        """Return the caller's own importance, or else that of the kind."""
         return self.importance_by_caller.get(caller, self.importance)
 
     def matches(self, method: str, path: str) -> bool:
-        """Say whether a request is of this kind; a prefix ends at a slash."""
+        """Return whether a request is of this kind.
+
+        The prefix ends at the end of ``path``, a slash or a query.
+        """
         if self.method not in {ANY_METHOD, method}:
             return False
         prefix = self.path.rstrip('/')
@@ -78,27 +82,26 @@
 
 
 class ServiceRules(Record):
-    """The rules of one service, by the name of the kind.
+    """The rules of one service, by kind.
 
-    It is not changed after it is made; ``digest`` and the order in which
-    kinds are matched are worked out once.
+    Immutable after construction, as ``digest`` and the order in which the
+    kinds are matched are computed once.
     """
 
     __slots__ = ('service', 'by_kind', 'digest', '_by_prefix')
 
     def __init__(self, *, service: str, by_kind: dict[str, KindRule]) -> None:
-        """Take the rules of one service."""
         self.service = service
         self.by_kind = by_kind
         self.digest = digest_of(self.as_content())
         self._by_prefix = sorted(by_kind.values(), key=_match_order)
 
     def as_content(self) -> dict[str, Any]:
-        """Return the rules as plain content for a codec."""
+        """Return the fields of each rule by kind, ready for JSON."""
         return {kind: rule.as_dict() for kind, rule in self.by_kind.items()}
 
     def kind_for(self, method: str, path: str) -> KindRule | None:
-        """Return the rule of a request: the longest prefix wins."""
+        """Return the matching rule: longest prefix, then exact method."""
         for rule in self._by_prefix:
             if rule.matches(method, path):
                 return rule
@@ -106,7 +109,7 @@
 
 
 class RulesDocument(Record):
-    """All the rules of one deployment, of one generation."""
+    """All rules of one deployment at one generation, by service."""
 
     __slots__ = ('deployment', 'generation', 'by_service')
 
@@ -117,14 +120,13 @@
         generation: int,
         by_service: dict[str, ServiceRules],
     ) -> None:
-        """Take the rules of every service."""
         self.deployment = deployment
         self.generation = generation
         self.by_service = by_service
 
     @property
     def digest(self) -> str:
-        """Return the digest, made from those of the services."""
+        """Return the digest, computed from those of the services."""
         return digest_of_parts(
             self.deployment,
             self.generation,
@@ -132,7 +134,7 @@
         )
 
     def digest_by_service(self) -> dict[str, str]:
-        """Return the digest of each service's rules."""
+        """Return the digests that the manifest of this document lists."""
         return {
             service: rules.digest for service, rules in self.by_service.items()
         }
@@ -143,7 +145,7 @@
     generation: int,
     digest_by_service: dict[str, str],
 ) -> str:
-    """Return a document's digest, for one who has the services' only."""
+    """Return a document's digest from the digests of its services alone."""
     return digest_of([deployment, generation, digest_by_service])
 
 
--- a/src/lovageshunt/rules/_events.py
+++ b/src/lovageshunt/rules/_events.py
@@ -1,4 +1,4 @@
-"""What the spread of rules is told, and what it asks its daemon to do."""
+"""Events that the gossip of rules handles, and actions that it requests."""
 
 from collections.abc import Sequence
 
@@ -9,33 +9,32 @@
 
 
 class DocumentRead(Record):
-    """This node read a document from the platform."""
+    """This node read ``document`` from the platform at ``version``."""
 
     __slots__ = ('version', 'document')
 
     def __init__(self, *, version: Version, document: RulesDocument) -> None:
-        """Take the document and the version that it was read at."""
         self.version = version
         self.document = document
 
 
 class MessageReceived(Record):
-    """A message of a peer arrived; ``peer`` is its name."""
+    """A message arrived from the peer with the name ``peer``."""
 
     __slots__ = ('peer', 'message')
 
     def __init__(self, *, peer: str, message: Message) -> None:
-        """Take the peer and what it said."""
         self.peer = peer
         self.message = message
 
 
 class RulesGossipTicked(Record):
-    """The timer turned; twice a second is enough.
+    """The periodic timer expired; a period of 0.5 s is short enough.
 
-    ``peers`` are candidates for the exchange and ``peers_by_service`` the
-    members of the services that this node serves and calls. ``readers`` are
-    the nodes that now read the platform, as far as this node knows.
+    All fields hold node names from the membership view. ``peers`` are the
+    candidates for gossip, ``peers_by_service`` the members of the services
+    that this node serves and calls. ``readers`` are the nodes that read the
+    platform at present, as far as this node knows.
     """
 
     __slots__ = ('peers', 'peers_by_service', 'readers')
@@ -47,40 +46,37 @@
         peers_by_service: dict[str, Sequence[str]] | None = None,
         readers: Sequence[str] = (),
     ) -> None:
-        """Take the names that the view of members supplies."""
         self.peers = peers
         self.peers_by_service = peers_by_service or {}
         self.readers = readers
 
 
 class SendMessage(Record):
-    """Send a message to a peer; nothing is expected back."""
+    """Send a one-way message to the peer with the name ``peer``."""
 
     __slots__ = ('peer', 'message')
 
     def __init__(self, *, peer: str, message: Message) -> None:
-        """Take the peer's name and the message."""
         self.peer = peer
         self.message = message
 
 
 class ReadDocument(Record):
-    """Read the document from the platform, once; it may fail."""
+    """Try once to read the document from the platform; no retry on failure."""
 
     __slots__ = ()
 
 
 class RulesChanged(Record):
-    """Another version is in force from now on."""
+    """A different version is now in force."""
 
     __slots__ = ('version',)
 
     def __init__(self, *, version: Version) -> None:
-        """Take the version."""
         self.version = version
 
 
-#: What the spread of rules may be told.
+#: Every event that ``RulesGossip`` handles.
 RulesGossipEvent = DocumentRead | MessageReceived | RulesGossipTicked
-#: What the spread of rules may ask for.
+#: Every action that ``RulesGossip`` returns.
 RulesGossipAction = SendMessage | ReadDocument | RulesChanged
--- a/src/lovageshunt/rules/_first_read.py
+++ b/src/lovageshunt/rules/_first_read.py
@@ -1,4 +1,4 @@
-"""When a node without any rules reads them from the platform itself."""
+"""Schedules the one platform read of a node that has no rules."""
 
 from random import Random
 
@@ -6,28 +6,29 @@
 
 
 class FirstRead:
-    """Asks for one reading, at a moment drawn for this node.
+    """Schedules one read after a random delay, at most ``max_delay_seconds``.
 
-    When the first document of a fleet appears, every node lacks every part,
-    and the few readers could not send so much within their budget.
+    The delay starts when the node learns that a version exists. When the
+    first document of a fleet is published, every node lacks every part, and
+    the few readers could not send them all within their byte budget. The
+    random delay spreads the reads of a fleet.
     """
 
-    __slots__ = ('_rng', '_seconds', '_read_at', '_is_over')
+    __slots__ = ('_rng', '_max_delay_seconds', '_read_at', '_is_done')
 
-    def __init__(self, rng: Random, seconds: float) -> None:
-        """Take the time over which the nodes of a fleet are spread."""
+    def __init__(self, rng: Random, max_delay_seconds: float) -> None:
         self._rng = rng
-        self._seconds = seconds
+        self._max_delay_seconds = max_delay_seconds
         self._read_at: float | None = None
-        self._is_over = False
+        self._is_done = False
 
     def is_due(self, rules: RulesInForce, now: float) -> bool:
-        """Say whether to read now; true once in a life, at most."""
+        """Return whether to read now; true at most once in a node's life."""
         if rules.version is not None:
-            self._is_over = True
-        if self._is_over or rules.heard is None:
+            self._is_done = True
+        if self._is_done or rules.latest is None:
             return False
         if self._read_at is None:
-            self._read_at = now + self._rng.uniform(0, self._seconds)
-        self._is_over = now >= self._read_at
-        return self._is_over
+            self._read_at = now + self._rng.uniform(0, self._max_delay_seconds)
+        self._is_done = now >= self._read_at
+        return self._is_done
--- a/src/lovageshunt/rules/_in_force.py
+++ b/src/lovageshunt/rules/_in_force.py
@@ -1,4 +1,4 @@
-"""Which rules a node serves under; no version older than one heard enters."""
+"""The rules in force at a node; their version never goes backwards."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -11,11 +11,12 @@
 
 
 class Verdict(StrEnum):
-    """What became of an offer.
+    """The outcome of offering a version.
 
-    ``ADOPTED``: it is in force now. ``WAITING``: it is the greatest heard
-    and parts of it are missing. ``SAME``: known already. ``OLDER``: a
-    greater one was heard. ``INCONSISTENT``: its digests contradict each other.
+    ``ADOPTED``: it is now in force. ``WAITING``: it is the latest known
+    version and needed parts are missing. ``SAME``: these rules are already in
+    force. ``OLDER``: a later version is known. ``INCONSISTENT``: its digest
+    does not match those of its parts.
     """
 
     ADOPTED = 'adopted'
@@ -26,7 +27,11 @@
 
 
 class OfferResult(Record):
-    """The result of an offer; ``is_conflict`` when two share a generation."""
+    """The verdict on an offered version.
+
+    ``is_conflict`` is true if the latest known document has the same
+    generation and a different digest.
+    """
 
     __slots__ = ('verdict', 'version', 'is_conflict')
 
@@ -37,36 +42,38 @@
         version: Version,
         is_conflict: bool = False,
     ) -> None:
-        """Take the verdict on one version."""
         self.verdict = verdict
         self.version = version
         self.is_conflict = is_conflict
 
 
 class RulesInForce:
-    """The greatest version heard, and the greatest that is whole.
-
-    A version is in force only when every part that the node needs is there;
-    until then the one before it stays whole. ``needed_services`` of ``None``
-    means all.
+    """The latest known version and the version in force.
+
+    The latest is the greatest in the order of ``Version``. A version comes
+    into force when the node has every part that it needs; until then the
+    previous one stays in force. ``needed_services`` lists the services whose
+    parts the node needs; ``None`` means all. ``current`` is the document in
+    force with the parts that are present, ``in_force_since`` the time of its
+    adoption, in seconds of the node's clock. ``latest`` is the manifest of
+    the latest known version.
     """
 
     __slots__ = (
         'current',
         'in_force_since',
-        'heard',
+        'latest',
         '_in_force',
-        '_log',
+        '_conflict_log',
         '_needed',
         '_part_by_service',
     )
 
     def __init__(self, needed_services: frozenset[str] | None = None) -> None:
-        """Start without any rules."""
         self.current: RulesDocument | None = None
         self.in_force_since: float | None = None
-        self._log = ConflictLog()
-        self.heard: Manifest | None = None
+        self._conflict_log = ConflictLog()
+        self.latest: Manifest | None = None
         self._in_force: Manifest | None = None
         self._needed = needed_services
         self._part_by_service: dict[str, ServiceRules] = {}
@@ -78,15 +85,15 @@
 
     @property
     def conflicts(self) -> tuple[Conflict, ...]:
-        """Return the conflicts on record, the oldest first."""
-        return self._log.conflicts
+        """Return the logged conflicts in the order of detection."""
+        return self._conflict_log.conflicts
 
     def manifest(self) -> Manifest | None:
         """Return the manifest of the version in force, if any."""
         return self._in_force
 
     def kind_for(self, service: str, method: str, path: str) -> KindRule:
-        """Return the rule of a request, or the cautious default."""
+        """Return the rule that matches a request, or else the default rule."""
         rule = None
         if self.current is not None and service in self.current.by_service:
             rule = self.current.by_service[service].kind_for(method, path)
@@ -98,12 +105,12 @@
         document: RulesDocument,
         now: float,
     ) -> OfferResult:
-        """Take a whole document, as read from the platform."""
+        """Handle a complete document that was read from the platform."""
         manifest = manifest_of(document, version)
         return self.offer_parts(manifest, document.by_service, now)
 
-    def hear(self, manifest: Manifest, now: float) -> OfferResult:
-        """Take a manifest; from now on nothing older is adopted."""
+    def offer_manifest(self, manifest: Manifest, now: float) -> OfferResult:
+        """Handle a manifest; from now on no older version is adopted."""
         return self.offer_parts(manifest, {}, now)
 
     def offer_parts(
@@ -112,12 +119,14 @@
         parts: dict[str, ServiceRules],
         now: float,
     ) -> OfferResult:
-        """Take a manifest with the rules of some of its services."""
-        if not manifest.is_sound:
+        """Handle a manifest with the rules of some of its services."""
+        if not manifest.is_consistent:
             return OfferResult(
                 verdict=Verdict.INCONSISTENT, version=manifest.version
             )
-        is_conflict = self._log.compare(self.heard, manifest.version, now)
+        is_conflict = self._conflict_log.record_if_conflict(
+            self.latest, manifest.version, now
+        )
         verdict = self._verdict(manifest, parts, now)
         return OfferResult(
             verdict=verdict,
@@ -126,51 +135,55 @@
         )
 
     def note_version(self, version: Version, now: float) -> None:
-        """Take a version without its manifest.
+        """Handle a version that was received without its manifest.
 
-        A conflict goes on record, and a later revision of the rules heard
-        last counts as heard.
+        Logs a conflict. A version that has the digest of ``latest`` and a
+        later revision replaces it.
         """
-        self._log.compare(self.heard, version, now)
-        heard = self.heard
-        if heard is None or heard.version.digest != version.digest:
+        self._conflict_log.record_if_conflict(self.latest, version, now)
+        latest = self.latest
+        if latest is None or latest.version.digest != version.digest:
             return
         manifest = Manifest(
             version=version,
-            deployment=heard.deployment,
-            digest_by_service=heard.digest_by_service,
+            deployment=latest.deployment,
+            digest_by_service=latest.digest_by_service,
         )
-        self.hear(manifest, now)
+        self.offer_manifest(manifest, now)
 
     def missing(
         self,
         manifest: Manifest,
         needed_services: frozenset[str] | None,
     ) -> tuple[str, ...]:
-        """Return the services whose rules must still be fetched."""
+        """Return the needed services whose rules are not present."""
         return tuple(
             sorted(
                 service
                 for service, digest in manifest.digest_by_service.items()
                 if _is_needed(service, needed_services)
-                and not self._holds(service, digest)
+                and not self._has_part(service, digest)
             ),
         )
 
-    def missing_now(self) -> tuple[str, ...]:
-        """Return what this node lacks of the greatest version heard."""
-        if self.heard is None:
+    def missing_services(self) -> tuple[str, ...]:
+        """Return the services whose rules of ``latest`` are still missing."""
+        if self.latest is None:
             return ()
-        return self.missing(self.heard, self._needed)
+        return self.missing(self.latest, self._needed)
 
-    def held(self, services: Iterable[str]) -> dict[str, ServiceRules]:
-        """Return those of the greatest version's parts that are here."""
-        if self.heard is None:
+    def available_parts(
+        self, services: Iterable[str]
+    ) -> dict[str, ServiceRules]:
+        """Return the rules of ``latest`` that are present, by service."""
+        if self.latest is None:
             return {}
         return {
             service: self._part_by_service[service]
             for service in services
-            if self._holds(service, self.heard.digest_by_service.get(service))
+            if self._has_part(
+                service, self.latest.digest_by_service.get(service)
+            )
         }
 
     def _verdict(
@@ -179,18 +192,18 @@
         parts: dict[str, ServiceRules],
         now: float,
     ) -> Verdict:
-        if self.heard is not None and manifest.version < self.heard.version:
+        if self.latest is not None and manifest.version < self.latest.version:
             return Verdict.OLDER
-        if self.heard is None or manifest.version > self.heard.version:
-            self.heard = manifest
-        self._keep(manifest, parts)
+        if self.latest is None or manifest.version > self.latest.version:
+            self.latest = manifest
+        self._store_parts(manifest, parts)
         if self.version == manifest.version:
             return Verdict.SAME
         if self.missing(manifest, self._needed):
             return Verdict.WAITING
         return self._adopt(manifest, now)
 
-    def _keep(
+    def _store_parts(
         self,
         manifest: Manifest,
         parts: dict[str, ServiceRules],
@@ -213,14 +226,14 @@
         self.current = RulesDocument(
             deployment=manifest.deployment,
             generation=manifest.version.generation,
-            by_service=self.held(manifest.digest_by_service),
+            by_service=self.available_parts(manifest.digest_by_service),
         )
         if has_same_rules:
             return Verdict.SAME
         self.in_force_since = now
         return Verdict.ADOPTED
 
-    def _holds(self, service: str, digest: str | None) -> bool:
+    def _has_part(self, service: str, digest: str | None) -> bool:
         rules = self._part_by_service.get(service)
         return rules is not None and rules.digest == digest
 
--- a/src/lovageshunt/rules/_manifest_messages.py
+++ b/src/lovageshunt/rules/_manifest_messages.py
@@ -1,11 +1,11 @@
-"""What changed between two manifests."""
+"""Manifest messages: building full ones and deltas, and applying them."""
 
 from lovageshunt.rules._messages import ManifestTold
 from lovageshunt.rules._version import Manifest
 
 
-def tell_whole(manifest: Manifest, reader: str) -> ManifestTold:
-    """Return the message with a whole manifest."""
+def full_manifest_message(manifest: Manifest, reader: str) -> ManifestTold:
+    """Return a message that does not depend on an earlier manifest."""
     return ManifestTold(
         version=manifest.version,
         deployment=manifest.deployment,
@@ -16,12 +16,12 @@
     )
 
 
-def tell_changes(
+def manifest_delta_message(
     manifest: Manifest,
     base: Manifest,
     reader: str,
 ) -> ManifestTold:
-    """Return the message with what changed since ``base``."""
+    """Return a message with the changes of ``manifest`` against ``base``."""
     old = base.digest_by_service
     new = manifest.digest_by_service
     return ManifestTold(
@@ -38,23 +38,23 @@
     )
 
 
-def manifest_told(
-    told: ManifestTold, heard: Manifest | None
+def apply_manifest_message(
+    message: ManifestTold, latest: Manifest | None
 ) -> Manifest | None:
-    """Return the manifest that a message makes of the one heard before.
+    """Return the manifest that results from applying a message.
 
-    ``None`` when the message tells changes of another one.
+    Returns ``None`` if the message is a delta and its base is not ``latest``.
     """
     digest_by_service: dict[str, str] = {}
-    if told.base_digest:
-        if heard is None or heard.version.digest != told.base_digest:
+    if message.base_digest:
+        if latest is None or latest.version.digest != message.base_digest:
             return None
-        digest_by_service.update(heard.digest_by_service)
-    digest_by_service.update(told.changed)
-    for service in told.removed:
+        digest_by_service.update(latest.digest_by_service)
+    digest_by_service.update(message.changed)
+    for service in message.removed:
         digest_by_service.pop(service, None)
     return Manifest(
-        version=told.version,
-        deployment=told.deployment,
+        version=message.version,
+        deployment=message.deployment,
         digest_by_service=digest_by_service,
     )
--- a/src/lovageshunt/rules/_messages.py
+++ b/src/lovageshunt/rules/_messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other about rules."""
+"""Messages about rules that nodes send to each other."""
 
 from lovageshunt._record import Record
 from lovageshunt.rules._document import ServiceRules
@@ -6,28 +6,28 @@
 
 
 class VersionTold(Record):
-    """The greatest version that the sender heard, if any."""
+    """The latest version that the sender knows, or ``None``."""
 
     __slots__ = ('version',)
 
     def __init__(self, *, version: Version | None) -> None:
-        """Take the version."""
         self.version = version
 
 
 class ManifestAsked(Record):
-    """The sender wants the whole manifest of the greatest version."""
+    """Requests the full manifest of the latest version."""
 
     __slots__ = ()
 
 
 class ManifestTold(Record):
-    """A manifest, whole or as what changed since another one.
+    """A full manifest, or a delta against an earlier one.
 
-    ``base_digest`` is the digest of the document that ``changed`` and
-    ``removed`` change; empty when ``changed`` is the whole manifest.
-    ``reader`` names the node that read the document from the platform, and
-    so has all parts of it.
+    ``base_digest`` is the digest of the document that a delta applies to;
+    empty if the manifest is full. ``changed`` maps services to their new
+    digests and ``removed`` lists services that no longer have rules.
+    ``reader`` names the node that read the document from the platform and
+    therefore has all parts of it.
     """
 
     __slots__ = (
@@ -49,7 +49,6 @@
         changed: dict[str, str],
         removed: list[str],
     ) -> None:
-        """Take every field by name."""
         self.version = version
         self.deployment = deployment
         self.reader = reader
@@ -59,18 +58,17 @@
 
 
 class PartsAsked(Record):
-    """The sender lacks the rules of some services at a version."""
+    """Requests the rules of ``services`` at ``version``."""
 
     __slots__ = ('version', 'services')
 
     def __init__(self, *, version: Version, services: list[str]) -> None:
-        """Take the version and the services."""
         self.version = version
         self.services = services
 
 
 class PartsTold(Record):
-    """The rules of some services at a version."""
+    """The rules of some services at ``version``, by service."""
 
     __slots__ = ('version', 'parts')
 
@@ -80,10 +78,9 @@
         version: Version,
         parts: dict[str, ServiceRules],
     ) -> None:
-        """Take the version and the rules by service."""
         self.version = version
         self.parts = parts
 
 
-#: Everything that a node may tell another about rules.
+#: Every message about rules.
 Message = VersionTold | ManifestAsked | ManifestTold | PartsAsked | PartsTold
--- a/src/lovageshunt/rules/_peer_exchange.py
+++ b/src/lovageshunt/rules/_peer_exchange.py
@@ -1,4 +1,4 @@
-"""What a node tells its peers about rules, and makes of what they say."""
+"""Sends messages about rules to peers and handles those of peers."""
 
 from functools import singledispatchmethod
 from random import Random
@@ -8,9 +8,9 @@
 from lovageshunt.rules._gossip_settings import RulesGossipSettings
 from lovageshunt.rules._in_force import RulesInForce, Verdict
 from lovageshunt.rules._manifest_messages import (
-    manifest_told,
-    tell_changes,
-    tell_whole,
+    apply_manifest_message,
+    full_manifest_message,
+    manifest_delta_message,
 )
 from lovageshunt.rules._messages import (
     ManifestAsked,
@@ -19,22 +19,26 @@
     PartsTold,
     VersionTold,
 )
-from lovageshunt.rules._send_queue import Outbox
-from lovageshunt.rules._sources import Sources
+from lovageshunt.rules._send_queue import SendQueue
+from lovageshunt.rules._sources import PartSources
 from lovageshunt.rules._version import Manifest, Version
 
 
-class Dialogue:
-    """Passes news on at once and answers peers; messages go to the outbox."""
+class PeerExchange:
+    """Propagates new versions at once and answers peers.
+
+    Outgoing messages are put into the send queue. ``last_tick`` holds the
+    latest names of peers and members.
+    """
 
     __slots__ = (
-        'ticked',
+        'last_tick',
         '_rng',
         '_settings',
         '_rules',
-        '_outbox',
+        '_send_queue',
         '_sources',
-        '_base',
+        '_delta_base',
     )
 
     def __init__(
@@ -42,185 +46,189 @@
         rng: Random,
         settings: RulesGossipSettings,
         rules: RulesInForce,
-        outbox: Outbox,
+        send_queue: SendQueue,
     ) -> None:
-        """Start without peers; ``ticked`` brings them."""
-        self.ticked = RulesGossipTicked(peers=())
+        self.last_tick = RulesGossipTicked(peers=())
         self._rng = rng
         self._settings = settings
         self._rules = rules
-        self._outbox = outbox
-        self._sources = Sources(rng, settings.name)
-        self._base: Manifest | None = None
+        self._send_queue = send_queue
+        self._sources = PartSources(rng, settings.name)
+        self._delta_base: Manifest | None = None
 
-    def take_document(self, read: DocumentRead, now: float) -> None:
-        """Take what this node read from the platform."""
-        before = self._rules.heard
+    def handle_document(self, read: DocumentRead, now: float) -> None:
+        """Offer a document that this node read from the platform."""
+        previous = self._rules.latest
         name = self._settings.name
         offer = self._rules.offer(read.version, read.document, now)
-        self._pass_on_news(before, reader=name, teller='')
+        self._propagate_update(previous, reader=name, source='')
         if offer.verdict is not Verdict.ADOPTED:
             return
-        # The node that was said to hold every part may be gone since.
-        self._sources.note_reader(name)
-        for peer in self._draw(self._settings.fanout, but=''):
-            self._tell_manifest(peer, read.version)
-
-    def tell_version(self) -> None:
-        """Tell one peer which version is known; it says if it knows better."""
-        heard = self._rules.heard
-        version = None if heard is None else heard.version
-        for peer in self._draw(1, but=''):
-            self._outbox.put(peer, VersionTold(version=version))
-
-    def ask_manifest(self, count: int) -> None:
-        """Ask some peers what they know."""
-        for peer in self._draw(count, but=''):
-            self._outbox.put(peer, ManifestAsked())
-
-    def ask_parts(self) -> None:
-        """Ask for what is missing of the greatest version."""
-        heard = self._rules.heard
-        if heard is None:
+        # The reader named by peers may have left; this node now has all parts.
+        self._sources.set_reader(name)
+        for peer in self._sample_peers(self._settings.fanout, exclude=''):
+            self._send_manifest(peer, read.version)
+
+    def announce_version(self) -> None:
+        """Send the latest version to one peer, which answers if it differs."""
+        latest = self._rules.latest
+        version = None if latest is None else latest.version
+        for peer in self._sample_peers(1, exclude=''):
+            self._send_queue.put(peer, VersionTold(version=version))
+
+    def request_manifest(self, count: int) -> None:
+        """Request the latest manifest from up to ``count`` peers."""
+        for peer in self._sample_peers(count, exclude=''):
+            self._send_queue.put(peer, ManifestAsked())
+
+    def request_parts(self) -> None:
+        """Request the missing parts of the latest version."""
+        latest = self._rules.latest
+        if latest is None:
             return
-        missing = self._rules.missing_now()
-        services_by_peer = self._sources.choose(missing, self.ticked)
+        missing = self._rules.missing_services()
+        services_by_peer = self._sources.select(missing, self.last_tick)
         for peer, services in services_by_peer.items():
-            asked = PartsAsked(version=heard.version, services=services)
-            self._outbox.put(peer, asked)
+            request = PartsAsked(version=latest.version, services=services)
+            self._send_queue.put(peer, request)
 
     @singledispatchmethod
-    def take(self, message: Any, peer: str, now: float) -> None:
-        """Take a message of a peer."""
-        raise TypeError(f'{type(message).__name__} is no message about rules')
+    def handle(self, message: Any, peer: str, now: float) -> None:
+        """Handle a message of a peer; raise ``TypeError`` on other types."""
+        raise TypeError(f'{type(message).__name__} is not a rules message')
 
-    @take.register
-    def _take_version(
+    @handle.register
+    def _handle_version(
         self,
         message: VersionTold,
         peer: str,
         now: float,
     ) -> None:
-        self._compare(message.version, peer, now)
+        self._compare_version(message.version, peer, now)
 
-    @take.register
-    def _take_question(
+    @handle.register
+    def _handle_manifest_request(
         self,
         message: ManifestAsked,
         peer: str,
         now: float,
     ) -> None:
-        if self._rules.heard is None:
-            self._outbox.put(peer, VersionTold(version=None))
+        if self._rules.latest is None:
+            self._send_queue.put(peer, VersionTold(version=None))
             return
-        whole = tell_whole(self._rules.heard, self._sources.reader)
-        self._outbox.put(peer, whole)
+        full = full_manifest_message(self._rules.latest, self._sources.reader)
+        self._send_queue.put(peer, full)
 
-    @take.register
-    def _take_manifest(
+    @handle.register
+    def _handle_manifest(
         self,
         message: ManifestTold,
         peer: str,
         now: float,
     ) -> None:
-        before = self._rules.heard
-        manifest = manifest_told(message, before)
+        previous = self._rules.latest
+        manifest = apply_manifest_message(message, previous)
         if manifest is None:
-            self._compare(message.version, peer, now)
+            self._compare_version(message.version, peer, now)
             return
-        verdict = self._rules.hear(manifest, now).verdict
+        verdict = self._rules.offer_manifest(manifest, now).verdict
         if verdict is Verdict.OLDER:
-            self._tell_manifest(peer, message.version)
+            self._send_manifest(peer, message.version)
             return
         if verdict is Verdict.INCONSISTENT:
             return
-        self._pass_on_news(before, reader=message.reader, teller=peer)
-        self._sources.note_reader(message.reader)
-        self._sources.note_teller(peer)
+        self._propagate_update(previous, reader=message.reader, source=peer)
+        self._sources.set_reader(message.reader)
+        self._sources.add_announcer(peer)
 
-    @take.register
-    def _take_request(
+    @handle.register
+    def _handle_parts_request(
         self,
         message: PartsAsked,
         peer: str,
         now: float,
     ) -> None:
-        self._compare(message.version, peer, now)
-        heard = self._rules.heard
-        parts = self._rules.held(message.services)
-        if heard is not None and parts:
-            self._outbox.put(
+        self._compare_version(message.version, peer, now)
+        latest = self._rules.latest
+        parts = self._rules.available_parts(message.services)
+        if latest is not None and parts:
+            self._send_queue.put(
                 peer,
-                PartsTold(version=heard.version, parts=parts),
+                PartsTold(version=latest.version, parts=parts),
             )
 
-    @take.register
-    def _take_parts(
+    @handle.register
+    def _handle_parts(
         self,
         message: PartsTold,
         peer: str,
         now: float,
     ) -> None:
-        self._compare(message.version, peer, now)
-        if self._rules.heard is not None:
-            self._rules.offer_parts(self._rules.heard, message.parts, now)
+        self._compare_version(message.version, peer, now)
+        if self._rules.latest is not None:
+            self._rules.offer_parts(self._rules.latest, message.parts, now)
 
-    def _compare(self, version: Version | None, peer: str, now: float) -> None:
+    def _compare_version(
+        self, version: Version | None, peer: str, now: float
+    ) -> None:
         if version is None:
-            self._tell_manifest(peer, None)
+            self._send_manifest(peer, None)
             return
         self._rules.note_version(version, now)
-        heard = self._rules.heard
-        if heard is None or version > heard.version:
-            self._outbox.put(peer, ManifestAsked())
-        elif version < heard.version:
-            self._tell_manifest(peer, version)
+        latest = self._rules.latest
+        if latest is None or version > latest.version:
+            self._send_queue.put(peer, ManifestAsked())
+        elif version < latest.version:
+            self._send_manifest(peer, version)
         else:
-            self._sources.note_teller(peer)
+            self._sources.add_announcer(peer)
 
-    def _tell_manifest(self, peer: str, known: Version | None) -> None:
-        heard = self._rules.heard
-        if heard is not None:
-            told = self._manifest_for(heard, known)
-            self._outbox.put(peer, told)
+    def _send_manifest(self, peer: str, known: Version | None) -> None:
+        latest = self._rules.latest
+        if latest is not None:
+            manifest_message = self._manifest_message(latest, known)
+            self._send_queue.put(peer, manifest_message)
 
-    def _manifest_for(
+    def _manifest_message(
         self,
-        heard: Manifest,
+        latest: Manifest,
         known: Version | None,
     ) -> ManifestTold:
-        base = self._base
+        base = self._delta_base
         reader = self._sources.reader
-        if known is not None and known.digest == heard.version.digest:
-            return tell_changes(heard, heard, reader)
+        if known is not None and known.digest == latest.version.digest:
+            return manifest_delta_message(latest, latest, reader)
         if base is not None and known == base.version:
-            return tell_changes(heard, base, reader)
-        return tell_whole(heard, reader)
+            return manifest_delta_message(latest, base, reader)
+        return full_manifest_message(latest, reader)
 
-    def _pass_on_news(
+    def _propagate_update(
         self,
-        before: Manifest | None,
+        previous: Manifest | None,
         *,
         reader: str,
-        teller: str,
+        source: str,
     ) -> None:
-        heard = self._rules.heard
-        if heard is None or _has_same_rules(before, heard):
+        latest = self._rules.latest
+        if latest is None or _have_same_rules(previous, latest):
             return
-        self._base = before
-        self._sources.start(reader)
-        # Most peers know the version before, so only what changed is told.
-        known = None if before is None else before.version
-        told = self._manifest_for(heard, known)
-        for peer in self._draw(self._settings.fanout, but=teller):
-            self._outbox.put(peer, told)
-        self.ask_parts()
-
-    def _draw(self, count: int, *, but: str) -> list[str]:
-        excluded = {but, self._settings.name}
-        peers = [peer for peer in self.ticked.peers if peer not in excluded]
+        self._delta_base = previous
+        self._sources.reset(reader)
+        # Most peers know the previous version, so a delta is sent.
+        known = None if previous is None else previous.version
+        manifest_message = self._manifest_message(latest, known)
+        for peer in self._sample_peers(self._settings.fanout, exclude=source):
+            self._send_queue.put(peer, manifest_message)
+        self.request_parts()
+
+    def _sample_peers(self, count: int, *, exclude: str) -> list[str]:
+        excluded = {exclude, self._settings.name}
+        peers = [peer for peer in self.last_tick.peers if peer not in excluded]
         return self._rng.sample(peers, min(count, len(peers)))
 
 
-def _has_same_rules(before: Manifest | None, heard: Manifest) -> bool:
-    return before is not None and before.version.digest == heard.version.digest
+def _have_same_rules(previous: Manifest | None, latest: Manifest) -> bool:
+    return (
+        previous is not None
+        and previous.version.digest == latest.version.digest
+    )
--- a/src/lovageshunt/rules/_request_interval.py
+++ b/src/lovageshunt/rules/_request_interval.py
@@ -1,34 +1,34 @@
-"""How long to wait between questions for the same parts."""
+"""The interval between requests for the same parts."""
 
 from typing import Final
 
-#: So many questions without any progress are asked at the quick pace.
-_QUICK_QUESTIONS: Final = 8
-#: After these, the time between two is so many times as long.
+#: Requests without progress that are sent at the base interval.
+_MAX_FAST_REQUESTS: Final = 8
+#: Multiplies the base interval after these.
 _SLOW_FACTOR: Final = 4
 
 
-class Pace:
-    """Slows down when nothing comes of questions.
+class RequestInterval:
+    """Lengthens the interval while requests bring no progress.
 
-    When a whole fleet starts at once, questions alone would use up what
-    its nodes may send, and leave nothing for the answers.
+    When an entire fleet starts at once, requests alone would use up the byte
+    budget of its nodes and leave none for the responses. ``seconds`` is the
+    base interval.
     """
 
-    __slots__ = ('_seconds', '_missing', '_questions')
+    __slots__ = ('_seconds', '_last_missing', '_requests')
 
     def __init__(self, seconds: float) -> None:
-        """Take the quick pace: the time between two questions."""
         self._seconds = seconds
-        self._missing: tuple[str, ...] = ()
-        self._questions = 0
-
-    def next(self, missing: tuple[str, ...]) -> float:
-        """Return the time until the next question about what is missing."""
-        if missing != self._missing:
-            self._missing = missing
-            self._questions = 0
-        self._questions += 1
-        if self._questions <= _QUICK_QUESTIONS:
+        self._last_missing: tuple[str, ...] = ()
+        self._requests = 0
+
+    def next_seconds(self, missing: tuple[str, ...]) -> float:
+        """Return the seconds until the next request for ``missing``."""
+        if missing != self._last_missing:
+            self._last_missing = missing
+            self._requests = 0
+        self._requests += 1
+        if self._requests <= _MAX_FAST_REQUESTS:
             return self._seconds
         return self._seconds * _SLOW_FACTOR
--- a/src/lovageshunt/rules/_send_queue.py
+++ b/src/lovageshunt/rules/_send_queue.py
@@ -1,4 +1,4 @@
-"""Messages that wait until the budget of bytes allows them."""
+"""Queue of outgoing messages, limited by a token bucket of bytes."""
 
 from typing import Final
 
@@ -6,82 +6,83 @@
 from lovageshunt.rules._messages import Message, PartsTold
 from lovageshunt.rules._wire import encode_message
 
-#: What HTTP adds to a message on a connection that is kept, in bytes.
+#: What HTTP adds to a message on a persistent connection.
 MESSAGE_OVERHEAD_BYTES: Final = 200
 
-#: How long parts wait to be sent; the asker asks elsewhere after a second.
-PARTS_WAIT_SECONDS: Final = 1
+#: Parts that wait longer are dropped: the requester asks another peer by then.
+PARTS_MAX_WAIT_SECONDS: Final = 1
 
 _Key = tuple[str, type[Message]]
 
 
-class Outbox:
-    """Keeps the latest message of each kind for each peer.
+class SendQueue:
+    """Holds the latest message of each type for each peer.
 
-    Bytes are earned at a steady rate up to a burst. A message may be sent
-    while any are left and may overdraw them, so that one larger than the
-    burst is sent too; it is paid for before the next.
+    The bucket gains ``bytes_per_second`` up to ``burst_bytes`` and starts
+    full. A message is sent while the bucket is not empty, even if the message
+    is larger than the rest, so that one larger than ``burst_bytes`` can be
+    sent; the next one waits until the debt is refilled. ``sent_bytes`` counts
+    all bytes sent.
     """
 
     __slots__ = (
         'sent_bytes',
         '_bytes_per_second',
         '_burst_bytes',
-        '_left_bytes',
-        '_earned_at',
+        '_available_bytes',
+        '_refilled_at',
         '_message_by_key',
-        '_waiting_since',
+        '_queued_at',
     )
 
     def __init__(self, *, bytes_per_second: float, burst_bytes: float) -> None:
-        """Start with a full burst."""
         self.sent_bytes = 0
         self._bytes_per_second = bytes_per_second
         self._burst_bytes = burst_bytes
-        self._left_bytes = burst_bytes
-        self._earned_at: float | None = None
+        self._available_bytes = burst_bytes
+        self._refilled_at: float | None = None
         self._message_by_key: dict[_Key, Message] = {}
-        self._waiting_since: dict[_Key, float] = {}
+        self._queued_at: dict[_Key, float] = {}
 
     def put(self, peer: str, message: Message) -> None:
-        """Add a message; one of its kind that still waits is dropped."""
+        """Queue a message; replaces a queued one of its type for this peer."""
         self._message_by_key[(peer, type(message))] = message
 
-    def take(self, now: float) -> list[SendMessage]:
-        """Return what may be sent now: parts go last, as they are large."""
-        self._earn(now)
-        self._drop_late(now)
-        taken: list[SendMessage] = []
-        for key in sorted(self._message_by_key, key=_is_large):
-            if self._left_bytes <= 0:
+    def take_sendable(self, now: float) -> list[SendMessage]:
+        """Remove and return what may be sent now; large parts go last."""
+        self._refill(now)
+        self._drop_expired(now)
+        actions: list[SendMessage] = []
+        for key in sorted(self._message_by_key, key=_has_parts):
+            if self._available_bytes <= 0:
                 break
             message = self._message_by_key.pop(key)
-            taken.append(SendMessage(peer=key[0], message=message))
-            self._pay(len(encode_message(message)) + MESSAGE_OVERHEAD_BYTES)
-        return taken
+            actions.append(SendMessage(peer=key[0], message=message))
+            self._charge(len(encode_message(message)) + MESSAGE_OVERHEAD_BYTES)
+        return actions
 
-    def _drop_late(self, now: float) -> None:
-        # Whoever asked for parts has asked another peer since.
+    def _drop_expired(self, now: float) -> None:
+        # The requester of parts has asked another peer in the meantime.
         for key in self._message_by_key:
-            self._waiting_since.setdefault(key, now)
-        for key, since in list(self._waiting_since.items()):
-            is_late = now - since > PARTS_WAIT_SECONDS
+            self._queued_at.setdefault(key, now)
+        for key, queued_at in list(self._queued_at.items()):
+            is_expired = now - queued_at > PARTS_MAX_WAIT_SECONDS
             if key not in self._message_by_key:
-                self._waiting_since.pop(key)
-            elif is_late and _is_large(key):
+                self._queued_at.pop(key)
+            elif is_expired and _has_parts(key):
                 self._message_by_key.pop(key)
 
-    def _earn(self, now: float) -> None:
-        if self._earned_at is not None:
-            earned = (now - self._earned_at) * self._bytes_per_second
-            self._left_bytes += max(earned, 0)
-        self._left_bytes = min(self._left_bytes, self._burst_bytes)
-        self._earned_at = now
+    def _refill(self, now: float) -> None:
+        if self._refilled_at is not None:
+            earned = (now - self._refilled_at) * self._bytes_per_second
+            self._available_bytes += max(earned, 0)
+        self._available_bytes = min(self._available_bytes, self._burst_bytes)
+        self._refilled_at = now
 
-    def _pay(self, cost: int) -> None:
-        self._left_bytes -= cost
-        self.sent_bytes += cost
+    def _charge(self, size_bytes: int) -> None:
+        self._available_bytes -= size_bytes
+        self.sent_bytes += size_bytes
 
 
-def _is_large(key: _Key) -> bool:
+def _has_parts(key: _Key) -> bool:
     return key[1] is PartsTold
--- a/src/lovageshunt/rules/_sheet_checks.py
+++ b/src/lovageshunt/rules/_sheet_checks.py
@@ -1,4 +1,4 @@
-"""Checks across the rows of a sheet."""
+"""Checks of the rules of a sheet against each other."""
 
 from collections.abc import Iterator
 from itertools import chain
@@ -10,29 +10,28 @@
 
 
 class NumberedRule(Record):
-    """A rule and the row that it stands in."""
+    """A rule and its row in the sheet, counted from 1."""
 
     __slots__ = ('row', 'rule')
 
     def __init__(self, *, row: int, rule: KindRule) -> None:
-        """Take both."""
         self.row = row
         self.rule = rule
 
 
 def check_rules(rules: list[NumberedRule]) -> list[SheetFault]:
-    """Return what is wrong with rules that are each well formed."""
+    """Return the faults of rules that are each valid on their own."""
     checks = (
-        _repeated_kinds(rules),
-        _repeated_requests(rules),
-        _unlike_repeatables(rules),
-        _catch_alls(rules),
+        _duplicate_kinds(rules),
+        _duplicate_requests(rules),
+        _inconsistent_repeatables(rules),
+        _extreme_catch_alls(rules),
         _uniform_importance(rules),
     )
     return list(chain.from_iterable(checks))
 
 
-def _repeated_kinds(rules: list[NumberedRule]) -> Iterator[SheetFault]:
+def _duplicate_kinds(rules: list[NumberedRule]) -> Iterator[SheetFault]:
     row_by_kind: dict[tuple[str, str], int] = {}
     for numbered in rules:
         rule = numbered.rule
@@ -43,12 +42,12 @@
                 row=numbered.row,
                 column='kind',
                 value=rule.kind,
-                expected=f'each kind once at {rule.service}',
+                expected=f'each kind of {rule.service} in one row only',
                 remedy=f'remove this row or row {first}, or rename the kind',
             )
 
 
-def _repeated_requests(rules: list[NumberedRule]) -> Iterator[SheetFault]:
+def _duplicate_requests(rules: list[NumberedRule]) -> Iterator[SheetFault]:
     first_by_request: dict[tuple[str, str, str], NumberedRule] = {}
     for numbered in rules:
         rule = numbered.rule
@@ -59,12 +58,14 @@
                 row=numbered.row,
                 column='path',
                 value=f'{rule.method} {rule.path}',
-                expected=f'each request in one kind at {rule.service}',
+                expected=f'each request of {rule.service} in one kind only',
                 remedy=f'remove this row or row {first.row}',
             )
 
 
-def _unlike_repeatables(rules: list[NumberedRule]) -> Iterator[SheetFault]:
+def _inconsistent_repeatables(
+    rules: list[NumberedRule],
+) -> Iterator[SheetFault]:
     first_by_kind: dict[str, NumberedRule] = {}
     for numbered in rules:
         rule = numbered.rule
@@ -74,23 +75,23 @@
                 row=numbered.row,
                 column='repeatable',
                 value='yes' if rule.is_repeatable else 'no',
-                expected=f'the same for {rule.kind} as in row {first.row}',
-                remedy='make both alike, or give them two kinds',
+                expected=f'the value of {rule.kind} in row {first.row}',
+                remedy='use the same value in both rows, or two kinds',
             )
 
 
-def _catch_alls(rules: list[NumberedRule]) -> Iterator[SheetFault]:
-    extremes = {TOP_IMPORTANCE, LOWEST_IMPORTANCE}
+def _extreme_catch_alls(rules: list[NumberedRule]) -> Iterator[SheetFault]:
+    extreme_importances = {TOP_IMPORTANCE, LOWEST_IMPORTANCE}
     for numbered in rules:
         rule = numbered.rule
         is_catch_all = rule.method == ANY_METHOD and rule.path == '/'
-        if is_catch_all and rule.importance in extremes:
+        if is_catch_all and rule.importance in extreme_importances:
             yield SheetFault(
                 row=numbered.row,
                 column='importance',
                 value=str(rule.importance),
-                expected='a middle importance where a rule takes every request',
-                remedy='name the requests meant, or choose from 1 to 6',
+                expected='from 1 to 6 for a rule that matches every request',
+                remedy='narrow method or path, or choose from 1 to 6',
             )
 
 
@@ -103,6 +104,9 @@
             row=0,
             column='importance',
             value=str(importances.pop()),
-            expected='some requests that are refused before others',
-            remedy='give lookups a larger number than purchases',
+            expected='at least two different values in the sheet',
+            remedy=(
+                'give less important requests a larger number, for example '
+                'lookups a larger one than purchases'
+            ),
         )
--- a/src/lovageshunt/rules/_sheet_columns.py
+++ b/src/lovageshunt/rules/_sheet_columns.py
@@ -1,4 +1,4 @@
-"""The columns of a sheet: their names, and how a cell of each is read."""
+"""The columns of a sheet: their names and the parsers of their cells."""
 
 from collections.abc import Callable
 from functools import partial
@@ -8,7 +8,7 @@
 from lovageshunt.calls import LOWEST_IMPORTANCE, TOP_IMPORTANCE
 from lovageshunt.rules._document import ANY_METHOD
 
-#: The largest retry bound of a chain that a sheet may ask for.
+#: The largest retry bound of a call chain that a sheet may set.
 MAX_RETRY_BOUND: Final = 10
 _MIN_TIMEOUT_SECONDS: Final = 0.01
 _MAX_TIMEOUT_SECONDS: Final = 120
@@ -21,15 +21,18 @@
     ('yes', 'true', 'sí', 'si', 'verdadero', 'ہاں', '1')
 )
 _FALSE_WORDS: Final = frozenset(('no', 'false', 'falso', 'نہیں', '0'))
-#: The decimal signs of Spanish and of Urdu.
-_DECIMAL_SIGNS: Final = str.maketrans(',٫', '..')
-_NAME_MARKS: Final = frozenset('-_.')
+#: Maps the decimal separators of Spanish and of Urdu to a point.
+_DECIMAL_SEPARATORS: Final = str.maketrans(',٫', '..')
+_NAME_PUNCTUATION: Final = frozenset('-_.')
 
 
 class Column(Record):
-    """One column: its names, what a cell must be, and its reader.
+    """One column of a sheet.
 
-    ``read`` raises ``ValueError`` on a cell of another kind.
+    ``field`` is the field of ``KindRule`` that it fills, ``names`` its
+    accepted headers with the default one first, and ``expected`` describes
+    valid cells in faults. ``read`` parses a cell and raises ``ValueError`` if
+    it is invalid.
     """
 
     __slots__ = ('field', 'names', 'expected', 'is_required', 'read')
@@ -43,7 +46,6 @@
         read: Callable[[str], Any],
         is_required: bool = True,
     ) -> None:
-        """Take every field by name; the first name is the usual one."""
         self.field = field
         self.names = names
         self.expected = expected
@@ -52,12 +54,12 @@
 
     @property
     def name(self) -> str:
-        """Return the usual name."""
+        """Return the default name."""
         return self.names[0]
 
 
-def column_named(cell: str) -> Column | None:
-    """Return the column that a header cell names, in any of its languages."""
+def find_column(cell: str) -> Column | None:
+    """Return the column with this header in any supported language."""
     name = cell.casefold().replace(' ', '_')
     for column in COLUMNS:
         if name in column.names:
@@ -72,41 +74,44 @@
 
 
 def _read_name(cell: str) -> str:
-    is_word = all(sign.isalnum() or sign in _NAME_MARKS for sign in cell)
-    if not cell or len(cell) > _MAX_NAME_LENGTH or not is_word:
-        raise ValueError('no name')
+    has_valid_characters = all(
+        character.isalnum() or character in _NAME_PUNCTUATION
+        for character in cell
+    )
+    if not cell or len(cell) > _MAX_NAME_LENGTH or not has_valid_characters:
+        raise ValueError('invalid name')
     return cell
 
 
 def _read_method(cell: str) -> str:
     method = cell.upper()
     if method not in _METHODS:
-        raise ValueError('no method')
+        raise ValueError('unknown method')
     return method
 
 
 def _read_path(cell: str) -> str:
     is_plain = cell.isprintable() and not set(cell) & set(' ?#')
     if not cell.startswith('/') or not is_plain:
-        raise ValueError('no path')
+        raise ValueError('invalid path')
     return cell
 
 
 def _read_number(cell: str) -> float:
-    number = cell.translate(_DECIMAL_SIGNS)
+    number = cell.translate(_DECIMAL_SEPARATORS)
     if not number.replace('.', '', 1).isdecimal():
-        raise ValueError('no number')
+        raise ValueError('not a number')
     return float(number)
 
 
-def _read_whole(cell: str, *, low: int, high: int) -> int:
+def _read_integer(cell: str, *, low: int, high: int) -> int:
     number = _read_number(cell)
     if not number.is_integer() or not low <= number <= high:
         raise ValueError('out of range')
     return int(number)
 
 
-def _read_yes(cell: str) -> bool:
+def _read_boolean(cell: str) -> bool:
     word = cell.casefold()
     if word not in _TRUE_WORDS | _FALSE_WORDS:
         raise ValueError('neither yes nor no')
@@ -121,7 +126,7 @@
 
 
 _read_importance = partial(
-    _read_whole,
+    _read_integer,
     low=TOP_IMPORTANCE,
     high=LOWEST_IMPORTANCE,
 )
@@ -133,7 +138,7 @@
         caller, _, importance = pair.partition('=')
         caller = _read_name(caller.strip())
         if caller in importance_by_caller:
-            raise ValueError('a caller twice')
+            raise ValueError('duplicate caller')
         importance_by_caller[caller] = _read_importance(importance)
     return importance_by_caller
 
@@ -148,13 +153,13 @@
     Column(
         field='service',
         names=('service', 'servicio', 'سروس'),
-        expected='the ASCII name of a service, letters, digits, "-_."',
+        expected='the name of a service: ASCII letters, digits, "-_."',
         read=_read_service,
     ),
     Column(
         field='kind',
         names=('kind', 'tipo', 'قسم'),
-        expected='a name of at most 64 letters, digits, "-_."',
+        expected='a name of at most 64 characters: letters, digits, "-_."',
         read=_read_name,
     ),
     Column(
@@ -166,7 +171,7 @@
     Column(
         field='path',
         names=('path', 'ruta', 'راستہ'),
-        expected='a path prefix that starts with a slash, without ? or #',
+        expected='a prefix that starts with a slash, without ?, # or blanks',
         read=_read_path,
     ),
     Column(
@@ -179,7 +184,7 @@
         field='is_repeatable',
         names=('repeatable', 'repetible', 'دہرانا'),
         expected='yes or no',
-        read=_read_yes,
+        read=_read_boolean,
     ),
     Column(
         field='timeout_ms',
@@ -193,12 +198,12 @@
         field='retry_bound',
         names=('retry_bound', 'reintentos', 'دوبارہ_کوششیں'),
         expected=f'a whole number from 0 to {MAX_RETRY_BOUND}',
-        read=partial(_read_whole, low=0, high=MAX_RETRY_BOUND),
+        read=partial(_read_integer, low=0, high=MAX_RETRY_BOUND),
     ),
     Column(
         field='importance_by_caller',
         names=('callers', 'llamantes', 'کال_کرنے_والے'),
-        expected=f'caller=importance with | between, each {_IMPORTANCE_RANGE}',
+        expected=f'caller=importance, separated by |, each {_IMPORTANCE_RANGE}',
         read=_read_callers,
         is_required=False,
     ),
--- a/src/lovageshunt/rules/_sheet_fault.py
+++ b/src/lovageshunt/rules/_sheet_fault.py
@@ -1,4 +1,4 @@
-"""What is wrong with a sheet, one record for each fault."""
+"""Faults of a sheet and their remedies."""
 
 from collections.abc import Collection
 from difflib import get_close_matches
@@ -7,9 +7,9 @@
 
 
 class SheetFault(Record):
-    """One fault: where it is, what stands there and how to mend it.
+    """One fault: its position, the value found and how to correct it.
 
-    ``row`` counts from 1 as a spreadsheet does; 0 means the whole sheet.
+    ``row`` counts from 1 as a spreadsheet does; 0 means the entire sheet.
     """
 
     __slots__ = ('row', 'column', 'value', 'expected', 'remedy')
@@ -23,7 +23,6 @@
         expected: str,
         remedy: str,
     ) -> None:
-        """Take every field by name."""
         self.row = row
         self.column = column
         self.value = value
@@ -31,15 +30,15 @@
         self.remedy = remedy
 
     def __str__(self) -> str:
-        """Say all of it in one line."""
+        """Return all fields in one line."""
         return (
             f'row {self.row}, {self.column}: {self.value!r}, expected '
             f'{self.expected}; {self.remedy}'
         )
 
 
-def whole_sheet_fault(value: str, expected: str) -> SheetFault:
-    """Return a fault that stands in no row."""
+def sheet_level_fault(value: str, expected: str) -> SheetFault:
+    """Return a fault of the entire sheet rather than of a row."""
     return SheetFault(
         row=0,
         column='sheet',
@@ -50,8 +49,8 @@
 
 
 def nearest_remedy(name: str, known: Collection[str]) -> str:
-    """Return the remedy for a name that is not known."""
+    """Return a remedy for an unknown name, with the closest known one."""
     matches = get_close_matches(name, known, n=1)
     if matches:
         return f'did you mean {matches[0]!r}?'
-    return f'remove it; known are {", ".join(sorted(known))}'
+    return f'remove it; known names are {", ".join(sorted(known))}'
--- a/src/lovageshunt/rules/_sheet_table.py
+++ b/src/lovageshunt/rules/_sheet_table.py
@@ -1,4 +1,4 @@
-"""The header of a sheet and the rows below it, one rule in each."""
+"""Reads the header of a sheet and the rules in the rows below it."""
 
 from collections.abc import Collection
 from itertools import zip_longest
@@ -6,16 +6,19 @@
 
 from lovageshunt.rules._document import KindRule
 from lovageshunt.rules._sheet_checks import NumberedRule
-from lovageshunt.rules._sheet_columns import COLUMNS, Column, column_named
+from lovageshunt.rules._sheet_columns import COLUMNS, Column, find_column
 from lovageshunt.rules._sheet_fault import SheetFault, nearest_remedy
 from lovageshunt.rules._sheet_text import Row
 
-#: A column that holds text for people only.
-_NOTE: Final = 'note'
+#: The field of the column with comments, which no rule uses.
+_NOTE_FIELD: Final = 'note'
 
 
 class TableReader:
-    """Reads rules below a header; ``faults`` is what is wrong with them."""
+    """Reads rows into ``rules`` and collects ``faults``, also of the header.
+
+    ``known_services`` of ``None`` permits any service.
+    """
 
     __slots__ = ('faults', 'rules', '_header', '_known_services')
 
@@ -24,24 +27,23 @@
         header: Row,
         known_services: Collection[str] | None,
     ) -> None:
-        """Read the header; ``None`` as known services means any."""
         self.faults: list[SheetFault] = []
         self.rules: list[NumberedRule] = []
-        self._header = [column_named(cell) for cell in header.cells]
+        self._header = [find_column(cell) for cell in header.cells]
         self._known_services = known_services
         self._check_header(header)
 
     def read(self, row: Row) -> None:
-        """Read one row, into a rule or into faults."""
+        """Read one row and append a rule or at least one fault."""
         count = len(self.faults)
         by_field = self._read_cells(row)
-        by_field.pop(_NOTE, None)
+        by_field.pop(_NOTE_FIELD, None)
         self._check_service(row.number, by_field.get('service'))
-        if count == len(self.faults) and self._has_whole_header():
+        if count == len(self.faults) and self._has_complete_header():
             rule = KindRule(**by_field)
             self.rules.append(NumberedRule(row=row.number, rule=rule))
 
-    def _has_whole_header(self) -> bool:
+    def _has_complete_header(self) -> bool:
         return all(
             column in self._header for column in COLUMNS if column.is_required
         )
@@ -50,16 +52,20 @@
         seen: set[str] = set()
         for cell, column in zip(row.cells, self._header, strict=True):
             if column is None:
-                self._check_stray_column(row.number, cell)
+                self._check_unknown_column(row.number, cell)
                 continue
             if column.name in seen:
-                self._add_column(row.number, column, cell, 'it once')
+                self._add_column_fault(
+                    row.number, column, cell, 'this column only once'
+                )
             seen.add(column.name)
         for missing in COLUMNS:
             if missing.is_required and missing.name not in seen:
-                self._add_column(row.number, missing, '', 'this column')
+                self._add_column_fault(
+                    row.number, missing, '', 'a column with this name'
+                )
 
-    def _check_stray_column(self, row: int, cell: str) -> None:
+    def _check_unknown_column(self, row: int, cell: str) -> None:
         if not cell:
             return
         known = [name for column in COLUMNS for name in column.names]
@@ -72,7 +78,7 @@
         )
         self.faults.append(fault)
 
-    def _add_column(
+    def _add_column_fault(
         self,
         row: int,
         column: Column,
@@ -91,12 +97,12 @@
     def _read_cells(self, row: Row) -> dict[str, Any]:
         by_field: dict[str, Any] = {}
         pairs = zip_longest(self._header, row.cells)
-        for place, (column, cell) in enumerate(pairs, start=1):
+        for position, (column, cell) in enumerate(pairs, start=1):
             if column is not None:
                 by_field[column.field] = self._read_cell(row, column, cell)
                 continue
             if cell:
-                self._add_surplus(row.number, place, cell)
+                self._add_surplus_fault(row.number, position, cell)
         return by_field
 
     def _read_cell(self, row: Row, column: Column, cell: str | None) -> Any:
@@ -114,13 +120,13 @@
             self.faults.append(fault)
             return None
 
-    def _add_surplus(self, row: int, place: int, cell: str) -> None:
+    def _add_surplus_fault(self, row: int, position: int, cell: str) -> None:
         fault = SheetFault(
             row=row,
-            column=f'cell {place}',
+            column=f'cell {position}',
             value=cell,
-            expected='nothing, as the header names no such column',
-            remedy='quote a cell that holds the delimiter',
+            expected='an empty cell, as the header has no column here',
+            remedy='clear the cell, or quote cells that contain the delimiter',
         )
         self.faults.append(fault)
 
--- a/src/lovageshunt/rules/_sheet_text.py
+++ b/src/lovageshunt/rules/_sheet_text.py
@@ -1,4 +1,4 @@
-"""Turns the bytes of an exported sheet into rows of clean cells."""
+"""Decodes an exported sheet into rows of normalized cells."""
 
 import csv
 import unicodedata
@@ -7,22 +7,21 @@
 from typing import Final
 
 from lovageshunt._record import Record
-from lovageshunt.rules._sheet_columns import column_named
+from lovageshunt.rules._sheet_columns import find_column
 
 _MAX_SHEET_BYTES: Final = 1_000_000
-_WIDE_MARKS: Final = (b'\xff\xfe', b'\xfe\xff')
+_UTF16_BOMS: Final = (b'\xff\xfe', b'\xfe\xff')
 _DELIMITERS: Final = (';', '\t', ',')
-#: Joiners that Urdu words need; other format characters are dropped.
+#: Urdu words need these joiners; other format characters are removed.
 _JOINERS: Final = '\u200c\u200d'
 
 
 class Row(Record):
-    """One row; ``number`` counts from 1 as a spreadsheet does."""
+    """A row with normalized cells; ``number`` counts from 1."""
 
     __slots__ = ('number', 'cells')
 
     def __init__(self, *, number: int, cells: list[str]) -> None:
-        """Take the number and the clean cells."""
         self.number = number
         self.cells = cells
 
@@ -30,27 +29,28 @@
 def decode_sheet(raw: bytes) -> str:
     """Return the text of a sheet in UTF-8 or UTF-16.
 
-    Raises ``ValueError`` when it is neither, or too large.
+    Raises ``ValueError`` if it is neither, too large or has a NUL character.
     """
     if len(raw) > _MAX_SHEET_BYTES:
-        raise ValueError(f'over {_MAX_SHEET_BYTES} bytes')
+        raise ValueError(f'larger than {_MAX_SHEET_BYTES} bytes')
     text = raw.decode(_encoding_of(raw))
     if '\0' in text:
-        raise ValueError('a NUL character')
+        raise ValueError('contains a NUL character')
     return text
 
 
-def rows_of(text: str) -> list[Row]:
-    """Return the rows that hold anything, by the delimiter that fits best.
+def split_rows(text: str) -> list[Row]:
+    """Return the rows that are not empty.
 
-    Raises ``csv.Error`` when a quoted cell never ends.
+    The delimiter is the one that gives the most known columns in one row.
+    Raises ``csv.Error`` if a quoted cell is not closed.
     """
-    delimiter = max(_DELIMITERS, key=partial(_known_columns, text))
-    return _split(text, delimiter, is_strict=True)
+    delimiter = max(_DELIMITERS, key=partial(_count_known_columns, text))
+    return _parse_rows(text, delimiter, is_strict=True)
 
 
-def clean(cell: str) -> str:
-    """Return a cell without stray blanks and invisible marks."""
+def clean_cell(cell: str) -> str:
+    """Return a cell in NFC with single blanks and no invisible characters."""
     composed = unicodedata.normalize('NFC', cell)
     visible = ''.join(
         character
@@ -61,9 +61,10 @@
 
 
 def _encoding_of(raw: bytes) -> str:
-    if raw.startswith(_WIDE_MARKS):
+    if raw.startswith(_UTF16_BOMS):
         return 'utf-16'
-    # Without a mark, ASCII text in UTF-16 has a zero in every other byte.
+    # Without a byte order mark, ASCII text in UTF-16 has a zero in every
+    # other byte.
     if raw[1:2] == b'\0':
         return 'utf-16-le'
     if raw[:1] == b'\0':
@@ -71,19 +72,19 @@
     return 'utf-8-sig'
 
 
-def _split(text: str, delimiter: str, *, is_strict: bool) -> list[Row]:
+def _parse_rows(text: str, delimiter: str, *, is_strict: bool) -> list[Row]:
     lines = StringIO(text, newline='')
     reader = csv.reader(lines, delimiter=delimiter, strict=is_strict)
     rows = [
-        Row(number=number, cells=[clean(cell) for cell in cells])
+        Row(number=number, cells=[clean_cell(cell) for cell in cells])
         for number, cells in enumerate(reader, start=1)
     ]
     return [row for row in rows if any(row.cells)]
 
 
-def _known_columns(text: str, delimiter: str) -> int:
+def _count_known_columns(text: str, delimiter: str) -> int:
     counts = (
-        sum(column_named(cell) is not None for cell in row.cells)
-        for row in _split(text, delimiter, is_strict=False)
+        sum(find_column(cell) is not None for cell in row.cells)
+        for row in _parse_rows(text, delimiter, is_strict=False)
     )
     return max(counts, default=0)
--- a/src/lovageshunt/rules/_sources.py
+++ b/src/lovageshunt/rules/_sources.py
@@ -1,4 +1,4 @@
-"""Whom to ask for the parts of a version."""
+"""Selects the peers from which the parts of a version are requested."""
 
 from collections.abc import Sequence
 from random import Random
@@ -6,89 +6,90 @@
 
 from lovageshunt.rules._events import RulesGossipTicked
 
-#: How many of those who told a version are remembered.
-_MAX_TELLERS: Final = 4
-#: At about this many peers a round of questions ends.
-_MAX_ASKED: Final = 4
-#: How many peers are asked for the same part at once.
-_PEERS: Final = 2
+#: Only the latest peers that announced a version are remembered.
+_MAX_ANNOUNCERS: Final = 4
+#: A round of requests ends once it has at least this many peers.
+_TARGET_PEERS_PER_ROUND: Final = 4
+#: The peers that are asked for the same part in one round.
+_PEERS_PER_PART: Final = 2
 
 
-class Sources:
-    """Draws a peer that is likely to hold the rules of a service.
+class PartSources:
+    """Selects random peers that are likely to hold the rules of a service.
 
-    The reader of the document holds all of it, the members of a service
-    hold its rules, and whoever told the version may.
+    The reader of the document holds all parts, the members of a service hold
+    its rules, and a peer that announced the version may hold them.
     """
 
-    __slots__ = ('_rng', '_own_name', '_reader', '_tellers', '_asked')
+    __slots__ = ('_rng', '_own_name', '_reader', '_announcers', '_requested')
 
     def __init__(self, rng: Random, own_name: str) -> None:
-        """Start without any."""
         self._rng = rng
         self._own_name = own_name
         self._reader = ''
-        self._tellers: list[str] = []
-        self._asked: set[str] = set()
+        self._announcers: list[str] = []
+        self._requested: set[str] = set()
 
     @property
     def reader(self) -> str:
-        """Return the node that read the greatest version, if known."""
+        """Return the node that read the latest version; empty if unknown."""
         return self._reader
 
-    def start(self, reader: str) -> None:
-        """Begin anew for another version."""
+    def reset(self, reader: str) -> None:
+        """Forget all peers and start over for another version."""
         self._reader = reader
-        self._tellers.clear()
-        self._asked.clear()
+        self._announcers.clear()
+        self._requested.clear()
 
-    def note_reader(self, reader: str) -> None:
-        """Take another node that read the version."""
+    def set_reader(self, reader: str) -> None:
+        """Replace the reader; ignored if empty or unchanged."""
         if reader and reader != self._reader:
             self._reader = reader
-            self._asked.discard(reader)
+            self._requested.discard(reader)
 
-    def note_teller(self, peer: str) -> None:
-        """Remember a peer that knows the version."""
-        if peer not in self._tellers:
-            self._tellers.append(peer)
-            del self._tellers[:-_MAX_TELLERS]
+    def add_announcer(self, peer: str) -> None:
+        """Remember a peer that knows the latest version."""
+        if peer not in self._announcers:
+            self._announcers.append(peer)
+            del self._announcers[:-_MAX_ANNOUNCERS]
 
-    def choose(
+    def select(
         self,
         services: Sequence[str],
-        ticked: RulesGossipTicked,
+        last_tick: RulesGossipTicked,
     ) -> dict[str, list[str]]:
-        """Return the services to ask for, by the peer to ask.
+        """Return the services to request, by peer.
 
-        The members of a service ask a reader first; the others ask members,
-        so that a reader is not asked by everyone at once.
+        The members of a service ask a reader first. Other nodes ask members
+        first, so that a reader does not receive every request at once.
         """
-        readers = {self._reader, *ticked.readers}
+        readers = {self._reader, *last_tick.readers}
         services_by_peer: dict[str, list[str]] = {}
         for service in self._rng.sample(services, len(services)):
-            if len(services_by_peer) >= _MAX_ASKED:
+            if len(services_by_peer) >= _TARGET_PEERS_PER_ROUND:
                 break
-            members = set(ticked.peers_by_service.get(service, ()))
-            for peer in self._choose_some(members, readers):
+            members = set(last_tick.peers_by_service.get(service, ()))
+            for peer in self._select_peers(members, readers):
                 services_by_peer.setdefault(peer, []).append(service)
-        self._asked.update(services_by_peer)
+        self._requested.update(services_by_peer)
         return services_by_peer
 
-    def _choose_some(self, members: set[str], readers: set[str]) -> list[str]:
-        nobody = {'', self._own_name}
-        known = self._holders(members, readers) - nobody
-        known = known or set(self._tellers)
-        # Each is asked once before any is asked again.
-        fresh = known - self._asked
-        if not fresh:
-            self._asked -= known
-        candidates = sorted(fresh or known)
-        return self._rng.sample(candidates, min(_PEERS, len(candidates)))
-
-    def _holders(self, members: set[str], readers: set[str]) -> set[str]:
-        if self._own_name in members and not readers & self._asked:
+    def _select_peers(self, members: set[str], readers: set[str]) -> list[str]:
+        excluded = {'', self._own_name}
+        holders = self._likely_holders(members, readers) - excluded
+        holders = holders or set(self._announcers)
+        # Every candidate is asked once before any is asked again.
+        unasked = holders - self._requested
+        if not unasked:
+            self._requested -= holders
+        candidates = sorted(unasked or holders)
+        return self._rng.sample(
+            candidates, min(_PEERS_PER_PART, len(candidates))
+        )
+
+    def _likely_holders(self, members: set[str], readers: set[str]) -> set[str]:
+        if self._own_name in members and not readers & self._requested:
             return readers
-        if self._own_name in members or members <= self._asked:
+        if self._own_name in members or members <= self._requested:
             return members | readers
         return members
--- a/src/lovageshunt/rules/_version.py
+++ b/src/lovageshunt/rules/_version.py
@@ -1,4 +1,4 @@
-"""The order of versions, and the manifest that two nodes compare first."""
+"""Versions of the rules, their order, and manifests of digests."""
 
 from functools import total_ordering
 
@@ -8,16 +8,16 @@
 
 @total_ordering
 class Version(Record):
-    """One published document: generation, then revision, then digest.
+    """Identifies one published document; ordered by its three fields in turn.
 
-    ``generation`` stands in the document, ``revision`` is the platform's and
-    ``digest`` decides between equals, so every node finds the same winner.
+    ``generation`` comes from the document and ``revision`` from the platform.
+    ``digest`` breaks ties, so that every node chooses the same winner of a
+    conflict.
     """
 
     __slots__ = ('generation', 'revision', 'digest')
 
     def __init__(self, *, generation: int, revision: int, digest: str) -> None:
-        """Take the three parts of the order."""
         self.generation = generation
         self.revision = revision
         self.digest = digest
@@ -29,7 +29,7 @@
         return self._key() < other._key()
 
     def __hash__(self) -> int:  # type: ignore[override]
-        """Hash the three parts."""
+        """Return a hash consistent with the order."""
         return hash(self._key())
 
     def _key(self) -> tuple[int, int, str]:
@@ -37,7 +37,7 @@
 
 
 class Manifest(Record):
-    """A version with the digest of each service's rules."""
+    """A version with the digest of the rules of each service."""
 
     __slots__ = ('version', 'deployment', 'digest_by_service')
 
@@ -48,14 +48,13 @@
         deployment: str,
         digest_by_service: dict[str, str],
     ) -> None:
-        """Take the version and the digests of its parts."""
         self.version = version
         self.deployment = deployment
         self.digest_by_service = digest_by_service
 
     @property
-    def is_sound(self) -> bool:
-        """Say whether the version's digest is that of the parts."""
+    def is_consistent(self) -> bool:
+        """Return whether the version's digest matches those of the services."""
         digest = digest_of_parts(
             self.deployment,
             self.version.generation,
@@ -65,7 +64,7 @@
 
 
 def version_of(document: RulesDocument, revision: int) -> Version:
-    """Return the version of a document read at a platform's revision."""
+    """Return the version of a document that was read at ``revision``."""
     return Version(
         generation=document.generation,
         revision=revision,
@@ -74,7 +73,7 @@
 
 
 def manifest_of(document: RulesDocument, version: Version) -> Manifest:
-    """Return the manifest of a whole document."""
+    """Return the manifest of a complete document."""
     return Manifest(
         version=version,
         deployment=document.deployment,
--- a/src/lovageshunt/rules/_wire.py
+++ b/src/lovageshunt/rules/_wire.py
@@ -1,4 +1,4 @@
-"""The JSON form of what nodes tell each other about rules."""
+"""JSON encoding of the messages about rules."""
 
 from functools import singledispatch
 from types import MappingProxyType
@@ -27,15 +27,17 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a message as compact JSON."""
+    """Return a message as compact JSON; ``type`` is its class name."""
     fields = _fields_of(message)
     return orjson.dumps({'type': type(message).__name__, **fields})
 
 
 def decode_message(raw: bytes) -> Result[Message, MalformedRulesError]:
-    """Return the message in ``raw``, or why it is none."""
+    """Return the message in ``raw``, or the reason why it is malformed."""
     if len(raw) > MAX_DOCUMENT_BYTES:
-        return Error(MalformedRulesError(f'over {MAX_DOCUMENT_BYTES} bytes'))
+        return Error(
+            MalformedRulesError(f'larger than {MAX_DOCUMENT_BYTES} bytes')
+        )
     try:
         message = _message_of(orjson.loads(raw))
     except (KeyError, TypeError, ValueError) as error:
@@ -62,8 +64,8 @@
 
 def _message_of(content: object) -> Message:
     if not isinstance(content, dict):
-        raise TypeError('a JSON object was expected')
-    return _READERS[content['type']](content)
+        raise TypeError(f'expected a JSON object, got {type(content).__name__}')
+    return _DECODERS[content['type']](content)
 
 
 def _version_told(fields: _Fields) -> Message:
@@ -78,21 +80,21 @@
 def _manifest_told(fields: _Fields) -> Message:
     return ManifestTold(
         version=_version(fields['version']),
-        deployment=_text(fields['deployment']),
-        reader=_text(fields['reader']),
-        base_digest=_text(fields['base_digest']),
+        deployment=_string(fields['deployment']),
+        reader=_string(fields['reader']),
+        base_digest=_string(fields['base_digest']),
         changed={
-            _text(service): _text(digest)
+            _string(service): _string(digest)
             for service, digest in dict(fields['changed']).items()
         },
-        removed=_texts(fields['removed']),
+        removed=_strings(fields['removed']),
     )
 
 
 def _parts_asked(fields: _Fields) -> Message:
     return PartsAsked(
         version=_version(fields['version']),
-        services=_texts(fields['services']),
+        services=_strings(fields['services']),
     )
 
 
@@ -103,7 +105,7 @@
     )
 
 
-_READERS: Final = MappingProxyType(
+_DECODERS: Final = MappingProxyType(
     {
         'VersionTold': _version_told,
         'ManifestAsked': _manifest_asked,
@@ -118,23 +120,23 @@
     return Version(
         generation=_count(fields['generation']),
         revision=_count(fields['revision']),
-        digest=_text(fields['digest']),
+        digest=_string(fields['digest']),
     )
 
 
-def _texts(content: object) -> list[str]:
+def _strings(content: object) -> list[str]:
     if not isinstance(content, list):
-        raise TypeError('a list was expected')
-    return [_text(entry) for entry in content]
+        raise TypeError(f'expected a list, got {type(content).__name__}')
+    return [_string(entry) for entry in content]
 
 
-def _text(content: object) -> str:
+def _string(content: object) -> str:
     if not isinstance(content, str):
-        raise TypeError('text was expected')
+        raise TypeError(f'expected a string, got {type(content).__name__}')
     return content
 
 
 def _count(content: object) -> int:
     if type(content) is not int or content < 0:
-        raise ValueError('a whole number from 0 was expected')
+        raise ValueError('expected a non-negative integer')
     return content
--- a/tests/rules/test_document.py
+++ b/tests/rules/test_document.py
@@ -1,4 +1,4 @@
-"""Rules by service and kind, and the order of their versions."""
+"""Rules documents: matching, digests, encoding and versions."""
 
 import orjson
 import pytest
@@ -19,7 +19,7 @@
 
 
 def rule_of(kind, method, path):
-    """Return a rule for some requests."""
+    """Return a rule of ``payments`` that one caller overrides."""
     return KindRule(
         service='payments',
         kind=kind,
@@ -34,7 +34,7 @@
 
 
 def service_of(*rules):
-    """Return the rules of one service."""
+    """Return the rules of ``payments``."""
     by_kind = {rule.kind: rule for rule in rules}
     return ServiceRules(service='payments', by_kind=by_kind)
 
@@ -53,7 +53,7 @@
 
 
 class TestKindFor:
-    """Which rule a request falls under."""
+    """Selection of the rule for a request."""
 
     @pytest.mark.parametrize(
         ('method', 'path', 'kind'),
@@ -68,11 +68,11 @@
         ],
     )
     def test_longest_prefix_wins(self, method, path, kind):
-        """The longest prefix wins, and then the rule with the method."""
+        """The longest prefix wins, then the rule with the exact method."""
         assert PAYMENTS.kind_for(method, path).kind == kind
 
     def test_no_rule(self):
-        """A request that no rule names has none."""
+        """``kind_for`` returns ``None`` if no rule matches."""
         only = service_of(rule_of('purchase', 'POST', '/tokens'))
 
         assert only.kind_for('GET', '/tokens') is None
@@ -82,7 +82,7 @@
         [('GET', True), ('HEAD', True), ('POST', False), ('PUT', False)],
     )
     def test_default_is_cautious(self, method, is_repeatable):
-        """Without a rule only reads are repeatable."""
+        """The default rule makes only reads repeatable."""
         rule = RulesInForce().kind_for('payments', method, '/tokens')
 
         assert rule == default_rule('payments', method, '/tokens')
@@ -90,7 +90,7 @@
         assert rule.is_repeatable is is_repeatable
 
     def test_importance_by_caller(self):
-        """A caller with an importance of its own has that one."""
+        """The importance set for a caller overrides that of the kind."""
         rule = rule_of('purchase', 'POST', '/tokens')
 
         assert rule.importance_for('kiosk') == 1
@@ -101,13 +101,13 @@
     """Digests of documents."""
 
     def test_order_does_not_matter(self):
-        """The order in which kinds were added does not change the digest."""
-        turned = service_of(*reversed(PAYMENTS.by_kind.values()))
+        """The digest does not depend on the order of the kinds."""
+        reordered = service_of(*reversed(PAYMENTS.by_kind.values()))
 
-        assert turned.digest == PAYMENTS.digest
+        assert reordered.digest == PAYMENTS.digest
 
     def test_any_change_matters(self):
-        """A change of one field changes the document's digest."""
+        """A change of the rules changes the digest of the document."""
         other = RulesDocument(
             deployment='test',
             generation=3,
@@ -118,10 +118,10 @@
 
 
 class TestCodec:
-    """The published form."""
+    """JSON encoding of documents."""
 
     def test_round_trip(self):
-        """A document survives the wire unchanged."""
+        """Decoding an encoded document returns an equal one."""
         assert decode_document(encode_document(DOCUMENT)).ok == DOCUMENT
 
     @pytest.mark.parametrize(
@@ -138,7 +138,7 @@
         ],
     )
     def test_bad_rule_is_refused(self, field, value):
-        """A rule with a field of the wrong type or range is refused."""
+        """A rule with a field of a wrong type, range or name is refused."""
         content = orjson.loads(encode_document(DOCUMENT))
         content['by_service']['payments']['any'][field] = value
 
@@ -148,7 +148,7 @@
 
     @given(raw=st.binary(max_size=80))
     def test_noise(self, raw):
-        """Arbitrary bytes give the typed error."""
+        """Arbitrary bytes return an error and raise nothing."""
         assert decode_document(raw).is_error()
 
 
@@ -165,7 +165,7 @@
 
     @given(one=VERSIONS, other=VERSIONS)
     def test_generation_goes_first(self, one, other):
-        """Generation goes before revision and revision before digest."""
+        """Versions are ordered by generation, revision, then digest."""
         expected = (one.generation, one.revision, one.digest) < (
             other.generation,
             other.revision,
--- a/tests/rules/test_first_read.py
+++ b/tests/rules/test_first_read.py
@@ -1,4 +1,4 @@
-"""The one reading of a node without any rules."""
+"""The one platform read of a node without rules."""
 
 from random import Random
 
@@ -18,7 +18,7 @@
 SECONDS = 3
 READ = read_of(2)
 MANIFEST = manifest_of(READ.document, READ.version)
-TOLD = MessageReceived(
+MANIFEST_RECEIVED = MessageReceived(
     peer='b',
     message=ManifestTold(
         version=MANIFEST.version,
@@ -31,58 +31,60 @@
 )
 
 
-def readings(node, seconds=60):
-    """Let time pass; return when the node asked for the document."""
-    asked = []
-    for tenth in range(seconds * 10):
-        now = tenth / 10
+def read_times(node, seconds=60):
+    """Tick ten times a second; return when the node read the document."""
+    read_at = []
+    for tick in range(seconds * 10):
+        now = tick / 10
         actions = node.handle(RulesGossipTicked(peers=('b', 'c')), now)
-        asked += [now for action in actions if isinstance(action, ReadDocument)]
-    return asked
+        read_at += [
+            now for action in actions if isinstance(action, ReadDocument)
+        ]
+    return read_at
 
 
 def make_node(seed=1):
-    """Return a node that has no rules."""
+    """Return a node without rules."""
     return RulesGossip(
         Random(seed),
-        RulesGossipSettings(name='a', read_seconds=SECONDS),
+        RulesGossipSettings(name='a', first_read_seconds=SECONDS),
         RulesInForce(frozenset(SERVICES)),
     )
 
 
 class TestFirstRead:
-    """A node that has no rules."""
+    """When a node reads the document by itself."""
 
     def test_once_in_time(self):
-        """It reads once, soon after it heard that there are rules."""
+        """A node without rules reads once, within the maximum delay."""
         node = make_node()
-        node.handle(TOLD, 0)
-        asked = readings(node)
+        node.handle(MANIFEST_RECEIVED, 0)
+        read_at = read_times(node)
 
-        assert len(asked) == 1
-        assert asked[0] <= SECONDS + 0.1
+        assert len(read_at) == 1
+        assert read_at[0] <= SECONDS + 0.1
 
     def test_nodes_are_spread(self):
-        """Nodes that hear at once do not read at once."""
-        moments = set()
+        """Nodes that learn of a version together read at different times."""
+        times = set()
         for seed in range(20):
             node = make_node(seed)
-            node.handle(TOLD, 0)
-            moments.update(readings(node, SECONDS + 1))
+            node.handle(MANIFEST_RECEIVED, 0)
+            times.update(read_times(node, SECONDS + 1))
 
-        assert len(moments) > 10
+        assert len(times) > 10
 
-    def test_nothing_heard(self):
-        """It reads nothing while nobody speaks of rules."""
+    def test_no_known_version(self):
+        """A node does not read while no peer knows of any version."""
         node = make_node()
         node.handle(
             MessageReceived(peer='b', message=VersionTold(version=None)), 0
         )
 
-        assert not readings(node)
+        assert not read_times(node)
 
     def test_rules_in_force(self):
-        """One that has rules leaves a newer version to its peers."""
+        """A node with rules gets a newer version from its peers only."""
         node = make_node()
         document = document_of(1)
         first = read_of(1)
@@ -91,6 +93,6 @@
             document.by_service,
             0,
         )
-        node.handle(TOLD, 0)
+        node.handle(MANIFEST_RECEIVED, 0)
 
-        assert not readings(node)
+        assert not read_times(node)
--- a/tests/rules/test_in_force.py
+++ b/tests/rules/test_in_force.py
@@ -1,4 +1,4 @@
-"""Which rules a node serves under."""
+"""Adoption of versions, complete and in parts."""
 
 from lovageshunt.rules import (
     KindRule,
@@ -12,7 +12,7 @@
 
 
 def rules_of(service, timeout_ms=1000):
-    """Return the rules of one service with one kind."""
+    """Return the rules of a service with a single kind."""
     rule = KindRule(
         service=service,
         kind='read',
@@ -27,7 +27,7 @@
 
 
 def document_of(generation, timeout_ms=1000):
-    """Return a document with two services."""
+    """Return a document with the rules of two services."""
     return RulesDocument(
         deployment='test',
         generation=generation,
@@ -39,15 +39,15 @@
 
 
 def offer(in_force, document, revision=1, now=1):
-    """Offer a whole document as read at a revision."""
+    """Offer a complete document that was read at ``revision``."""
     return in_force.offer(version_of(document, revision), document, now)
 
 
 class TestOffer:
-    """Whole documents."""
+    """Offers of complete documents."""
 
     def test_first_is_adopted(self):
-        """The first document is in force at once."""
+        """The first document comes into force at once."""
         in_force = RulesInForce()
 
         assert offer(in_force, document_of(1), now=7).verdict == Verdict.ADOPTED
@@ -55,7 +55,7 @@
         assert in_force.current == document_of(1)
 
     def test_older_is_refused(self):
-        """An older generation is refused whatever its revision."""
+        """An older generation is refused even with a later revision."""
         in_force = RulesInForce()
         offer(in_force, document_of(2))
 
@@ -65,7 +65,7 @@
         assert in_force.current == document_of(2)
 
     def test_same_rules_at_another_revision(self):
-        """The same document read again is the same, with its time kept."""
+        """A later revision of equal rules does not change the adoption time."""
         in_force = RulesInForce()
         offer(in_force, document_of(2), revision=1, now=1)
 
@@ -76,7 +76,7 @@
         assert in_force.version.revision == 5
 
     def test_conflict_has_one_winner_and_is_on_record(self):
-        """Two documents of one generation leave the greater and a record."""
+        """Nodes choose the same winner in either order and log the conflict."""
         first, second = document_of(3, 1000), document_of(3, 2000)
         one, other = RulesInForce(), RulesInForce()
         offer(one, first)
@@ -89,75 +89,77 @@
 
 
 class TestParts:
-    """Rules that arrive service by service."""
+    """Offers of manifests and of the rules of single services."""
 
     def test_version_waits_for_all_needed_parts(self):
-        """The old version stays whole until every needed part is there."""
+        """The old version stays in force until every needed part is there."""
         document = document_of(2, 2000)
         manifest = manifest_of(document, version_of(document, 1))
         in_force = RulesInForce(frozenset(('stock', 'precios')))
         offer(in_force, document_of(1))
 
-        half = {'stock': document.by_service['stock']}
-        rest = {'precios': document.by_service['precios']}
+        first_part = {'stock': document.by_service['stock']}
+        last_part = {'precios': document.by_service['precios']}
 
-        waiting = in_force.offer_parts(manifest, half, 2)
+        waiting = in_force.offer_parts(manifest, first_part, 2)
         assert waiting.verdict == Verdict.WAITING
         assert in_force.current == document_of(1)
-        assert in_force.missing_now() == ('precios',)
-        adopted = in_force.offer_parts(manifest, rest, 3)
+        assert in_force.missing_services() == ('precios',)
+        adopted = in_force.offer_parts(manifest, last_part, 3)
         assert adopted.verdict == Verdict.ADOPTED
         assert in_force.current == document
 
     def test_only_needed_parts_are_missed(self):
-        """A node misses only the services that it serves and calls."""
+        """Parts that the node does not need are not missing."""
         document = document_of(2)
         manifest = manifest_of(document, version_of(document, 1))
         in_force = RulesInForce(frozenset(('stock',)))
 
-        in_force.hear(manifest, 1)
+        in_force.offer_manifest(manifest, 1)
 
-        assert in_force.missing_now() == ('stock',)
+        assert in_force.missing_services() == ('stock',)
 
-    def test_part_of_another_version_is_not_taken(self):
-        """A part whose digest is not the manifest's stays missing."""
+    def test_part_of_another_version_is_not_stored(self):
+        """A part whose digest differs from the manifest stays missing."""
         document = document_of(2, 2000)
         manifest = manifest_of(document, version_of(document, 1))
         in_force = RulesInForce(frozenset(('stock',)))
 
         in_force.offer_parts(manifest, document_of(1).by_service, 1)
 
-        assert in_force.missing_now() == ('stock',)
+        assert in_force.missing_services() == ('stock',)
         assert in_force.current is None
 
     def test_part_that_is_held_is_kept(self):
-        """A part of another version does not take the place of a right one."""
+        """A part with a wrong digest does not replace a matching one."""
         document = document_of(2, 2000)
         manifest = manifest_of(document, version_of(document, 1))
         in_force = RulesInForce()
-        right = {'stock': document.by_service['stock']}
-        wrong = {'stock': document_of(1).by_service['stock']}
+        matching = {'stock': document.by_service['stock']}
+        mismatching = {'stock': document_of(1).by_service['stock']}
 
-        in_force.offer_parts(manifest, right, 1)
-        in_force.offer_parts(manifest, wrong, 2)
+        in_force.offer_parts(manifest, matching, 1)
+        in_force.offer_parts(manifest, mismatching, 2)
 
-        assert in_force.missing_now() == ('precios',)
+        assert in_force.missing_services() == ('precios',)
 
-    def test_nothing_older_than_a_manifest_heard(self):
-        """A manifest counts as heard before its parts are there."""
+    def test_nothing_older_than_a_known_manifest(self):
+        """A manifest without parts already rules out older versions."""
         newer = document_of(5)
         in_force = RulesInForce()
-        in_force.hear(manifest_of(newer, version_of(newer, 1)), 1)
+        in_force.offer_manifest(manifest_of(newer, version_of(newer, 1)), 1)
 
         assert offer(in_force, document_of(4)).verdict == Verdict.OLDER
         assert in_force.current is None
 
     def test_digests_that_contradict_are_refused(self):
-        """A manifest that its version's digest does not cover is refused."""
+        """A manifest whose version has another digest is refused."""
         document = document_of(1)
         manifest = manifest_of(document, version_of(document, 1))
         manifest.digest_by_service['stock'] = '0'
         in_force = RulesInForce()
 
-        assert in_force.hear(manifest, 1).verdict == Verdict.INCONSISTENT
-        assert in_force.heard is None
+        assert (
+            in_force.offer_manifest(manifest, 1).verdict == Verdict.INCONSISTENT
+        )
+        assert in_force.latest is None
--- a/tests/rules/test_sheet.py
+++ b/tests/rules/test_sheet.py
@@ -1,4 +1,4 @@
-"""Sheets as planners export them."""
+"""Parsing of the sheets that planners export."""
 
 from datetime import date
 from pathlib import Path
@@ -10,14 +10,14 @@
 from lovageshunt.rules import decode_document, encode_document, parse_sheet
 
 EXAMPLES = Path(__file__).parents[2] / 'examples'
-LEAD = 'deployment;despensa\ngeneration;7\n'
+PREAMBLE = 'deployment;despensa\ngeneration;7\n'
 HEADER = (
     'service;kind;method;path;importance;repeatable;'
     'timeout_seconds;retry_bound;callers;note\n'
 )
 ORDER = 'pedidos;pedido;POST;/pedidos;0;no;20;4;bodega=1;Pedido\n'
 LOOKUP = 'precios;precio;GET;/precios;5;yes;4,5;1;;\n'
-SHEET = LEAD + HEADER + ORDER + LOOKUP
+SHEET = PREAMBLE + HEADER + ORDER + LOOKUP
 
 
 def faults_of(text, **options):
@@ -27,7 +27,7 @@
 
 
 class TestExports:
-    """Every way in which a spreadsheet may write the same sheet."""
+    """Encodings, delimiters and notations of spreadsheet programs."""
 
     @pytest.mark.parametrize(
         'raw',
@@ -51,13 +51,13 @@
         ],
     )
     def test_same_document(self, raw):
-        """An export is read into the same document."""
+        """All notations of a sheet give the same document."""
         expected = parse_sheet(SHEET.encode()).ok.document
 
         assert parse_sheet(raw).ok.document == expected
 
     def test_cells_are_read(self):
-        """Cells become the fields of a rule."""
+        """Cells are converted into the fields of a rule."""
         document = parse_sheet(SHEET.encode()).ok.document
         lookup = document.by_service['precios'].kind_for('GET', '/precios/7')
         order = document.by_service['pedidos'].kind_for('POST', '/pedidos')
@@ -69,7 +69,7 @@
 
     @pytest.mark.parametrize('name', ['nahr-labs', 'despensa'])
     def test_examples(self, name):
-        """The example sheets have no faults and survive the wire."""
+        """The example sheets have no faults and can be encoded."""
         raw = (EXAMPLES / name / 'rules.csv').read_bytes()
         document = parse_sheet(raw).ok.document
 
@@ -77,7 +77,7 @@
 
 
 class TestFaults:
-    """What is refused, each with its place."""
+    """Faults and their positions."""
 
     @pytest.mark.parametrize(
         ('old', 'new', 'place'),
@@ -126,12 +126,12 @@
         ],
     )
     def test_is_placed(self, old, new, place):
-        """A fault names its row, its column and what stands there."""
+        """A fault has its row, its column and the value of the cell."""
         assert old in SHEET
         assert place in faults_of(SHEET.replace(old, new, 1))
 
     def test_all_at_once(self):
-        """Every fault of a sheet is reported in one go."""
+        """All faults of a sheet are reported together, in order."""
         text = SHEET.replace(';0;no', ';9;quizá').replace(';7', ';x')
 
         assert faults_of(text) == [
@@ -140,15 +140,15 @@
             (4, 'repeatable', 'quizá'),
         ]
 
-    def test_unknown_service_gets_its_near_name(self):
-        """A service that does not exist is refused with the near one."""
+    def test_unknown_service_gets_the_closest_name(self):
+        """The fault of an unknown service suggests the closest name."""
         found = parse_sheet(SHEET.encode(), ('pedido', 'precios')).error
 
         assert [fault.value for fault in found] == ['pedidos']
         assert "'pedido'" in found[0].remedy
 
     def test_sheet_of_yesterday(self):
-        """A date row of an earlier day is refused on the day."""
+        """A date row earlier than ``today`` is a fault."""
         text = f'date;2026-01-30\n{SHEET}'
         today = date(2026, 1, 31)
 
@@ -166,12 +166,12 @@
         ],
     )
     def test_no_sheet(self, raw):
-        """What is no sheet at all is one fault of the whole."""
+        """Input that is not a sheet gives one fault of the entire sheet."""
         assert [fault.row for fault in parse_sheet(raw).error] == [0]
 
     @given(raw=st.binary(max_size=200) | st.text(max_size=99).map(str.encode))
     def test_noise(self, raw):
-        """Arbitrary bytes give faults that can be shown."""
+        """Arbitrary bytes give faults that can be formatted."""
         assert all(map(str, parse_sheet(raw).error))
 
     @given(
@@ -180,7 +180,7 @@
         noise=st.text(max_size=5),
     )
     def test_damage(self, start, length, noise):
-        """A damaged sheet is refused whole or gives a sound document."""
+        """A damaged sheet is refused or gives a valid document."""
         text = SHEET[:start] + noise + SHEET[start + length :]
         parsed = parse_sheet(text.encode('utf-8', 'replace'))
 
--- a/tests/rules/test_sources.py
+++ b/tests/rules/test_sources.py
@@ -1,10 +1,10 @@
-"""Whom a node asks for parts, and how often."""
+"""Selection of peers to request parts from, and the request interval."""
 
 from random import Random
 
 from lovageshunt.rules import RulesGossipTicked
-from lovageshunt.rules._request_interval import Pace
-from lovageshunt.rules._sources import Sources
+from lovageshunt.rules._request_interval import RequestInterval
+from lovageshunt.rules._sources import PartSources
 
 MEMBERS = ['a', 'b', 'c', 'd']
 TICKED = RulesGossipTicked(
@@ -14,57 +14,57 @@
 )
 
 
-def asked_by(name, rounds):
-    """Return whom a node asks for one part, round by round."""
-    sources = Sources(Random(1), name)
-    sources.start('r')
-    return [set(sources.choose(['stock'], TICKED)) for _ in range(rounds)]
+def requested_from(name, rounds):
+    """Return the peers that a node selects for one part in each round."""
+    sources = PartSources(Random(1), name)
+    sources.reset('r')
+    return [set(sources.select(['stock'], TICKED)) for _ in range(rounds)]
 
 
 class TestSources:
-    """Likely holders."""
+    """Selection of peers that are likely to hold a part."""
 
     def test_member_asks_readers_first(self):
-        """A member of the service asks readers, as no member has it yet."""
-        assert asked_by('a', 1) == [{'r', 's'}]
+        """A member asks readers, as no other member has the part yet."""
+        assert requested_from('a', 1) == [{'r', 's'}]
 
     def test_caller_asks_members_first(self):
-        """A node that only calls the service leaves readers to members."""
-        first, second, third = asked_by('x', 3)
+        """A node that only calls the service asks readers last."""
+        first, second, third = requested_from('x', 3)
 
         assert first | second == set(MEMBERS)
         assert third == {'r', 's'}
 
     def test_never_asks_itself(self):
-        """A node is never its own source."""
-        assert all('a' not in asked for asked in asked_by('a', 9))
+        """A node never selects itself."""
+        assert all('a' not in requested for requested in requested_from('a', 9))
 
     def test_reader_alone(self):
-        """Without members and readers listed, the reader told of is asked."""
-        sources = Sources(Random(1), 'x')
-        sources.start('r')
+        """Without members or listed readers the announced reader is asked."""
+        sources = PartSources(Random(1), 'x')
+        sources.reset('r')
 
-        chosen = sources.choose(['stock'], RulesGossipTicked(peers=()))
+        chosen = sources.select(['stock'], RulesGossipTicked(peers=()))
 
         assert chosen == {'r': ['stock']}
 
 
-class TestPace:
-    """The time between questions."""
+class TestRequestInterval:
+    """The interval between requests."""
 
     def test_slows_down_without_progress(self):
-        """Questions that nothing comes of are asked less often."""
-        pace = Pace(1)
+        """The interval grows after eight requests without progress."""
+        interval = RequestInterval(1)
 
-        *quick, slow = [pace.next(('stock',)) for _ in range(9)]
+        *fast, slow = [interval.next_seconds(('stock',)) for _ in range(9)]
 
-        assert set(quick) == {1}
+        assert set(fast) == {1}
         assert slow == 4
 
-    def test_progress_is_quick_again(self):
-        """A part that arrived brings the quick pace back."""
-        pace = Pace(1)
+    def test_progress_restores_the_interval(self):
+        """The interval is short again after a part has arrived."""
+        interval = RequestInterval(1)
         for _ in range(20):
-            pace.next(('precios', 'stock'))
+            interval.next_seconds(('precios', 'stock'))
 
-        assert pace.next(('stock',)) == 1
+        assert interval.next_seconds(('stock',)) == 1
--- a/tests/rules/test_spread.py
+++ b/tests/rules/test_spread.py
@@ -1,4 +1,4 @@
-"""How a version reaches every node, and nothing older ever does."""
+"""Gossip brings a version to every node and never an older one."""
 
 from functools import cache
 from random import Random
@@ -36,15 +36,15 @@
 
 SERVICES = ('listas', 'pedidos', 'precios', 'stock')
 NAMES = ('a', 'b', 'c', 'd', 'e')
-NEEDS = {
-    name: frozenset((SERVICES[place % 4], SERVICES[(place + 1) % 4]))
-    for place, name in enumerate(NAMES)
+NEEDED_SERVICES_BY_NAME = {
+    name: frozenset((SERVICES[index % 4], SERVICES[(index + 1) % 4]))
+    for index, name in enumerate(NAMES)
 }
 
 
 @cache
 def document_of(generation, variant=0):
-    """Return a document whose every rule carries its generation."""
+    """Return a document whose timeouts identify generation and variant."""
     timeout_ms = generation * 100 + variant
     by_service = {
         service: ServiceRules(
@@ -72,7 +72,7 @@
 
 
 def read_of(generation, *, variant=0, revision=1):
-    """Return the event that the platform gave such a document."""
+    """Return the event of reading such a document from the platform."""
     document = document_of(generation, variant)
     return DocumentRead(
         version=version_of(document, revision),
@@ -81,27 +81,26 @@
 
 
 class Fleet:
-    """Nodes whose messages wait in a list until someone delivers them."""
+    """Simulated nodes; ``waiting`` holds their undelivered messages."""
 
     def __init__(self, names=NAMES):
-        """Start every node."""
         self.now = 0
         self.waiting = []
         self.by_name = {}
-        self.cut = set()
+        self.isolated = set()
         for name in names:
             self.start(name)
 
     def start(self, name):
-        """Start a node with an empty memory."""
+        """Start or replace a node without any state."""
         self.by_name[name] = RulesGossip(
             Random(name),
             RulesGossipSettings(name=name, bytes_per_second=1e6),
-            RulesInForce(NEEDS[name]),
+            RulesInForce(NEEDED_SERVICES_BY_NAME[name]),
         )
 
-    def take(self, name, event):
-        """Let a node take an event; messages cross the wire form."""
+    def handle(self, name, event):
+        """Handle an event; messages are encoded and decoded."""
         for action in self.by_name[name].handle(event, self.now):
             if isinstance(action, SendMessage):
                 raw = encode_message(action.message)
@@ -110,24 +109,28 @@
                 self.waiting.append((action.peer, received))
 
     def tick(self, name):
-        """Turn one node's timer."""
+        """Send one node a tick with all nodes as its peers."""
         members = {
-            service: [peer for peer in self.by_name if service in NEEDS[peer]]
-            for service in NEEDS[name]
+            service: [
+                peer
+                for peer in self.by_name
+                if service in NEEDED_SERVICES_BY_NAME[peer]
+            ]
+            for service in NEEDED_SERVICES_BY_NAME[name]
         }
         peers = list(self.by_name)
-        self.take(
+        self.handle(
             name, RulesGossipTicked(peers=peers, peers_by_service=members)
         )
 
-    def deliver(self, place):
-        """Deliver one of the waiting messages, unless the line is cut."""
-        name, received = self.waiting.pop(place)
-        if (name in self.cut) == (received.peer in self.cut):
-            self.take(name, received)
+    def deliver(self, index):
+        """Deliver a waiting message, unless a partition separates the nodes."""
+        name, received = self.waiting.pop(index)
+        if (name in self.isolated) == (received.peer in self.isolated):
+            self.handle(name, received)
 
-    def settle(self, rounds=12):
-        """Let all that waits arrive, for some turns of every timer."""
+    def run_rounds(self, rounds=12):
+        """Tick every node and deliver all messages, for some rounds."""
         for _ in range(rounds):
             self.now += 1
             for name in self.by_name:
@@ -138,93 +141,93 @@
                 self.deliver(0)
 
     def versions(self):
-        """Return the version in force at each node."""
+        """Return the versions in force, one for each node."""
         return [node.rules.version for node in self.by_name.values()]
 
 
 class TestSpread:
-    """Nodes without faults."""
+    """Propagation between nodes without faults."""
 
     def test_one_reader_reaches_all(self):
-        """A document read by one node is soon in force at all."""
+        """A document that one node reads comes into force at all."""
         fleet = Fleet()
-        fleet.settle(3)
-        fleet.take('a', read_of(1))
-        fleet.settle(3)
+        fleet.run_rounds(3)
+        fleet.handle('a', read_of(1))
+        fleet.run_rounds(3)
 
         assert set(fleet.versions()) == {read_of(1).version}
 
     def test_exchange_finds_those_whom_the_rumour_missed(self):
-        """A version whose every rumour was lost still reaches all."""
+        """A version reaches all nodes though its first messages were lost."""
         fleet = Fleet()
-        fleet.settle(3)
-        fleet.take('a', read_of(1))
+        fleet.run_rounds(3)
+        fleet.handle('a', read_of(1))
         fleet.waiting.clear()
-        fleet.settle(6)
+        fleet.run_rounds(6)
 
         assert set(fleet.versions()) == {read_of(1).version}
 
     def test_only_needed_parts_are_fetched(self):
-        """A node that did not read the document holds only what it needs."""
+        """A node that did not read the document has only the parts it needs."""
         fleet = Fleet()
-        fleet.settle(3)
-        fleet.take('a', read_of(1))
-        fleet.settle(3)
+        fleet.run_rounds(3)
+        fleet.handle('a', read_of(1))
+        fleet.run_rounds(3)
 
         current = fleet.by_name['c'].rules.current
-        assert current.by_service.keys() == NEEDS['c']
+        assert current.by_service.keys() == NEEDED_SERVICES_BY_NAME['c']
 
     def test_two_operators_have_one_winner(self):
-        """Of two documents of one generation, one wins at every node."""
+        """Of two documents of one generation the same wins at every node."""
         fleet = Fleet()
-        fleet.settle(3)
-        fleet.take('a', read_of(1, variant=1))
-        fleet.take('e', read_of(1, variant=2))
-        fleet.settle(4)
+        fleet.run_rounds(3)
+        fleet.handle('a', read_of(1, variant=1))
+        fleet.handle('e', read_of(1, variant=2))
+        fleet.run_rounds(4)
 
         assert len(set(fleet.versions())) == 1
         logs = [node.rules.conflicts for node in fleet.by_name.values()]
         assert any(logs)
 
     def test_change_is_announced(self):
-        """The daemon is told when another version is in force."""
+        """An action reports that another version is in force."""
         fleet = Fleet(('a',))
-        fleet.settle(3)
+        fleet.run_rounds(3)
         actions = fleet.by_name['a'].handle(read_of(1), fleet.now)
 
         assert RulesChanged(version=read_of(1).version) in actions
 
 
 class TestSettling:
-    """A node that just started."""
+    """Startup of a node with a stale copy at the platform."""
 
     def test_stale_platform_copy_waits_for_peers(self):
-        """A restarted node that reaches a peer never serves older rules."""
+        """A restarted node that reaches a peer never adopts older rules."""
         fleet = Fleet()
-        fleet.settle(3)
-        fleet.take('a', read_of(2))
-        fleet.settle(3)
+        fleet.run_rounds(3)
+        fleet.handle('a', read_of(2))
+        fleet.run_rounds(3)
         fleet.start('a')
-        fleet.take('a', read_of(1))
+        fleet.handle('a', read_of(1))
         assert fleet.by_name['a'].rules.version is None
-        fleet.settle(2)
+        fleet.run_rounds(2)
 
         assert fleet.by_name['a'].rules.version == read_of(2).version
 
-    def test_without_peers_the_platform_is_taken(self):
-        """A node that reaches nobody takes the platform's copy in the end."""
+    def test_without_peers_the_platform_is_used(self):
+        """A node without peers adopts the platform's copy after a timeout."""
         fleet = Fleet(('a',))
-        fleet.take('a', read_of(1))
-        fleet.settle(4)
+        fleet.handle('a', read_of(1))
+        fleet.run_rounds(4)
 
         assert fleet.by_name['a'].rules.version == read_of(1).version
 
 
 class TestBudget:
-    """The bytes that a node sends."""
+    """Limits on what a node sends."""
 
     def test_bursts_are_bounded(self):
-        """Messages over the budget wait until it is earned."""
+        """Messages beyond the byte budget wait until it is refilled."""
         node = RulesGossip(
             Random(1),
             RulesGossipSettings(
@@ -244,8 +247,8 @@
         assert early < 300 + 600
         assert early < node.sent_bytes < early + 1800 + 600
 
-    def test_quick_timer_asks_no_more(self):
-        """A timer that turns often does not make a node ask more often."""
+    def test_frequent_ticks_send_no_more_requests(self):
+        """More frequent ticks do not lead to more requests."""
         fleet = Fleet()
         for tick in range(20):
             fleet.now = tick / 10
@@ -260,7 +263,7 @@
 
 
 class TestMessages:
-    """The wire form."""
+    """JSON encoding of messages."""
 
     @pytest.mark.parametrize(
         'raw',
@@ -277,11 +280,11 @@
         ],
     )
     def test_noise_is_a_typed_error(self, raw):
-        """What is no message gives the typed error."""
+        """Malformed messages return an error and raise nothing."""
         assert decode_message(raw).is_error()
 
     def test_round_trip(self):
-        """A message survives the wire unchanged."""
+        """Decoding an encoded message returns an equal one."""
         asked = PartsAsked(version=read_of(1).version, services=['stock'])
 
         assert decode_message(encode_message(asked)).ok == asked
@@ -289,13 +292,13 @@
         assert decode_message(encode_message(none)).ok == none
 
 
-def has_waiting(machine):
-    """Say whether any message is on its way."""
+def has_undelivered(machine):
+    """Return whether any message is undelivered."""
     return bool(machine.fleet.waiting)
 
 
 def event_of(version):
-    """Return the platform's copy of a version."""
+    """Return the event of reading the document of a version."""
     variant = next(
         variant
         for variant in (0, 1)
@@ -309,22 +312,21 @@
 
 
 class SpreadMachine(RuleBasedStateMachine):
-    """Nodes with lost, late and reordered messages, restarts and cuts.
+    """Nodes with message loss, delay and reordering, restarts and partitions.
 
-    Every rule's timeout tells its generation and variant, so a mixture of
-    two versions in force would show.
+    The timeout of each rule identifies its generation and variant, so that a
+    mixture of two versions is detected.
     """
 
     def __init__(self):
-        """Start the fleet."""
         super().__init__()
         self.fleet = Fleet()
         self.last = {}
 
     @initialize()
     def warm_up(self):
-        """Let every node hear its peers."""
-        self.fleet.settle(3)
+        """End the startup of every node."""
+        self.fleet.run_rounds(3)
 
     @rule(
         name=st.sampled_from(NAMES),
@@ -333,47 +335,47 @@
         revision=st.integers(1, 3),
     )
     def read_platform(self, name, generation, variant, revision):
-        """A node reads any copy: new, stale, restarted or raced."""
+        """A node reads any document: new, stale or conflicting."""
         event = read_of(generation, variant=variant, revision=revision)
-        self.fleet.take(name, event)
+        self.fleet.handle(name, event)
 
     @rule(name=st.sampled_from(NAMES), seconds=st.floats(0, 5))
     def tick(self, name, seconds):
-        """Time passes and one timer turns."""
+        """Advance the time and tick one node."""
         self.fleet.now += seconds
         self.fleet.tick(name)
 
-    @precondition(has_waiting)
-    @rule(place=st.integers(0, 999), is_lost=st.booleans())
-    def deliver_any(self, place, is_lost):
-        """Any waiting message arrives or is lost."""
-        place %= len(self.fleet.waiting)
+    @precondition(has_undelivered)
+    @rule(index=st.integers(0, 999), is_lost=st.booleans())
+    def deliver_any(self, index, is_lost):
+        """Deliver or lose any waiting message."""
+        index %= len(self.fleet.waiting)
         if is_lost:
-            self.fleet.waiting.pop(place)
+            self.fleet.waiting.pop(index)
             return
-        self.fleet.deliver(place)
+        self.fleet.deliver(index)
 
-    @precondition(has_waiting)
-    @rule(place=st.integers(0, 999))
-    def duplicate(self, place):
-        """A message arrives twice."""
-        place %= len(self.fleet.waiting)
-        self.fleet.waiting.append(self.fleet.waiting[place])
+    @precondition(has_undelivered)
+    @rule(index=st.integers(0, 999))
+    def duplicate(self, index):
+        """Duplicate a waiting message."""
+        index %= len(self.fleet.waiting)
+        self.fleet.waiting.append(self.fleet.waiting[index])
 
     @rule(names=st.sets(st.sampled_from(NAMES), max_size=3))
-    def cut(self, names):
-        """The network splits, otherwise than before, or heals."""
-        self.fleet.cut = names
+    def partition(self, names):
+        """Change or heal the network partition."""
+        self.fleet.isolated = names
 
     @rule(name=st.sampled_from(NAMES))
     def restart(self, name):
-        """A node is replaced and remembers nothing."""
+        """Replace a node; it loses its state."""
         self.fleet.start(name)
         self.last.pop(name, None)
 
     @invariant()
-    def never_back(self):
-        """In the life of a process its version only grows."""
+    def version_never_decreases(self):
+        """The version in force at a process never goes backwards."""
         for name, node in self.fleet.by_name.items():
             version = node.rules.version
             before = self.last.get(name)
@@ -382,30 +384,31 @@
                 self.last[name] = version
 
     @invariant()
-    def never_a_mixture(self):
-        """All needed rules in force are of the one version in force."""
+    def versions_are_never_mixed(self):
+        """All needed rules belong to the version in force."""
         for name, node in self.fleet.by_name.items():
             current = node.rules.current
             if current is None:
                 continue
-            assert current.by_service.keys() >= NEEDS[name]
+            assert current.by_service.keys() >= NEEDED_SERVICES_BY_NAME[name]
             expected = event_of(node.rules.version).document.by_service
             for service, rules in current.by_service.items():
                 assert rules == expected[service]
 
     def teardown(self):
-        """Once all lines work, every node has the one winner."""
-        self.fleet.cut = set()
-        self.fleet.settle(4)
-        known = [node.rules.heard for node in self.fleet.by_name.values()]
+        """Without partitions every node adopts the greatest version."""
+        self.fleet.isolated = set()
+        self.fleet.run_rounds(4)
+        known = [node.rules.latest for node in self.fleet.by_name.values()]
         winner = max(
             (manifest.version for manifest in known if manifest),
             default=None,
         )
         if winner is not None:
-            # Its only holder may be gone; the platform still has it.
-            self.fleet.take('a', event_of(winner))
-            self.fleet.settle(8)
+            # The only node with the parts may have restarted; the platform
+            # still has the document.
+            self.fleet.handle('a', event_of(winner))
+            self.fleet.run_rounds(8)
         assert set(self.fleet.versions()) == {winner}
 
 
