--- a/bench/spread.py
+++ b/bench/spread.py
@@ -16,13 +16,13 @@
     MessageReceived,
     ReadDocument,
     RulesDocument,
+    RulesGossip,
+    RulesGossipEvent,
+    RulesGossipSettings,
+    RulesGossipTicked,
     RulesInForce,
     SendMessage,
     ServiceRules,
-    Spread,
-    SpreadEvent,
-    SpreadSettings,
-    SpreadTicked,
     manifest_of,
     version_of,
 )
@@ -104,8 +104,8 @@
         self._first = document_of(1, self.services)
         self._loss = loss
         self._order = count()
-        self._queue: list[tuple[float, int, str, SpreadEvent | None]] = []
-        self.node_by_name: dict[str, Spread] = {}
+        self._queue: list[tuple[float, int, str, RulesGossipEvent | None]] = []
+        self.node_by_name: dict[str, RulesGossip] = {}
         self._services_by_name: dict[str, list[str]] = {}
         self._names_by_service: dict[str, list[str]] = {}
         self.readers: list[str] = []
@@ -159,9 +159,9 @@
         self._services_by_name[name] = services
         members = self._names_by_service.setdefault(services[0], [])
         members.append(name)
-        self.node_by_name[name] = Spread(
+        self.node_by_name[name] = RulesGossip(
             Random(self._rng.random()),
-            SpreadSettings(name=name),
+            RulesGossipSettings(name=name),
             RulesInForce(frozenset(services)),
         )
         if not self._is_cold:
@@ -174,11 +174,11 @@
         parts = {name: document.by_service[name] for name in services}
         rules.offer_parts(manifest, parts, 0)
 
-    def _tick(self, name: str) -> SpreadTicked:
+    def _tick(self, name: str) -> RulesGossipTicked:
         self._later(_TICK_SECONDS, name, None)
         names = list(self.node_by_name)
         count_drawn = min(_CANDIDATES, len(names))
-        return SpreadTicked(
+        return RulesGossipTicked(
             peers=self._rng.sample(names, count_drawn),
             peers_by_service={
                 service: self._names_by_service.get(service, [])
@@ -187,7 +187,7 @@
             readers=self.readers,
         )
 
-    def _take(self, name: str, event: SpreadEvent) -> None:
+    def _take(self, name: str, event: RulesGossipEvent) -> None:
         for action in self.node_by_name[name].handle(event, self.now):
             if isinstance(action, SendMessage):
                 self._send(name, action)
@@ -212,7 +212,7 @@
         self,
         delay: float,
         name: str,
-        event: SpreadEvent | None,
+        event: RulesGossipEvent | None,
     ) -> None:
         entry = (self.now + delay, next(self._order), name, event)
         heappush(self._queue, entry)
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -28,12 +28,12 @@
     DocumentRead,
     MessageReceived,
     ReadDocument,
+    RulesGossip,
+    RulesGossipEvent,
+    RulesGossipSettings,
+    RulesGossipTicked,
     RulesInForce,
     SendMessage,
-    Spread,
-    SpreadEvent,
-    SpreadSettings,
-    SpreadTicked,
 )
 
 #: Peers that rules are exchanged with in one turn.
@@ -63,9 +63,9 @@
         self._outbox.heard = self.heard
         #: Called to read the rules from the platform once.
         self.read_rules: Callable[[], None] = _no_read
-        self._spread = Spread(
+        self._spread = RulesGossip(
             rng,
-            SpreadSettings(name=identity.name),
+            RulesGossipSettings(name=identity.name),
             self.rules,
         )
 
@@ -73,7 +73,7 @@
         """Let time pass, then send what has gathered."""
         self.fleet.tell(MembershipTicked())
         peers = self.fleet.exchange_peers(_EXCHANGE_PEERS)
-        ticked = SpreadTicked(
+        ticked = RulesGossipTicked(
             peers=[peer.name for peer in peers],
             peers_by_service={
                 service: [member.name for member in self.members(service)]
@@ -179,7 +179,7 @@
             routes.append(_route_of(own))
         return routes
 
-    def _spread_event(self, event: SpreadEvent) -> None:
+    def _spread_event(self, event: RulesGossipEvent) -> None:
         for action in self._spread.handle(event, now()):
             if isinstance(action, SendMessage):
                 self._outbox.to(action.peer).rules.append(action.message)
--- a/src/lovageshunt/rules/__init__.py
+++ b/src/lovageshunt/rules/__init__.py
@@ -1,4 +1,4 @@
-"""Rules that operators accept, their versions and the one in force."""
+"""Request rules: documents, versions, gossip between nodes and sheets."""
 
 from lovageshunt.rules._codec import (
     MAX_DOCUMENT_BYTES,
@@ -8,7 +8,7 @@
     encode_parts,
 )
 from lovageshunt.rules._conflicts import Conflict
-from lovageshunt.rules._defaults import DEFAULT_KIND, default_kind
+from lovageshunt.rules._defaults import DEFAULT_KIND, default_rule
 from lovageshunt.rules._document import (
     ANY_METHOD,
     KindRule,
@@ -20,12 +20,14 @@
     MessageReceived,
     ReadDocument,
     RulesChanged,
+    RulesGossipAction,
+    RulesGossipEvent,
+    RulesGossipTicked,
     SendMessage,
-    SpreadAction,
-    SpreadEvent,
-    SpreadTicked,
 )
-from lovageshunt.rules._in_force import Offer, RulesInForce, Verdict
+from lovageshunt.rules._gossip import RulesGossip
+from lovageshunt.rules._gossip_settings import RulesGossipSettings
+from lovageshunt.rules._in_force import OfferResult, RulesInForce, Verdict
 from lovageshunt.rules._messages import (
     ManifestAsked,
     ManifestTold,
@@ -36,8 +38,6 @@
 )
 from lovageshunt.rules._sheet import Sheet, parse_sheet
 from lovageshunt.rules._sheet_fault import SheetFault
-from lovageshunt.rules._spread import Spread
-from lovageshunt.rules._spread_settings import SpreadSettings
 from lovageshunt.rules._version import (
     Manifest,
     Version,
@@ -59,7 +59,7 @@
     'Message',
     'MessageReceived',
     'ReadDocument',
-    'Offer',
+    'OfferResult',
     'PartsAsked',
     'PartsTold',
     'RulesChanged',
@@ -69,18 +69,18 @@
     'ServiceRules',
     'Sheet',
     'SheetFault',
-    'Spread',
-    'SpreadAction',
-    'SpreadEvent',
-    'SpreadSettings',
-    'SpreadTicked',
+    'RulesGossip',
+    'RulesGossipAction',
+    'RulesGossipEvent',
+    'RulesGossipSettings',
+    'RulesGossipTicked',
     'Verdict',
     'Version',
     'VersionTold',
     'decode_document',
     'decode_message',
     'decode_parts',
-    'default_kind',
+    'default_rule',
     'encode_document',
     'encode_parts',
     'encode_message',
