--- a/src/lovageshunt/links/__init__.py
+++ b/src/lovageshunt/links/__init__.py
@@ -16,9 +16,9 @@
 )
 from lovageshunt.links._incoming import IncomingLink, OrderBook, OrderHandler
 from lovageshunt.links._messages import (
+    DemandReport,
     Greeting,
     LoadNews,
-    NeedsNews,
     RunAnswer,
     RunOrder,
 )
@@ -32,7 +32,7 @@
     'IncomingLink',
     'LinkListener',
     'LoadNews',
-    'NeedsNews',
+    'DemandReport',
     'OrderBook',
     'OrderHandler',
     'RunAnswer',
--- a/src/lovageshunt/links/_codec.py
+++ b/src/lovageshunt/links/_codec.py
@@ -6,7 +6,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.errors import MalformedFrameError
-from lovageshunt.links._messages import Greeting, NeedsNews
+from lovageshunt.links._messages import DemandReport, Greeting
 
 
 def encode_message(message: Record) -> bytes:
@@ -23,11 +23,11 @@
         raise MalformedFrameError(str(error)) from error
 
 
-def decode_needs(payload: bytes) -> NeedsNews:
+def decode_needs(payload: bytes) -> DemandReport:
     """Read needs; raises ``MalformedFrameError`` when it is none."""
     fields = _object(payload)
     try:
-        return NeedsNews(**fields)
+        return DemandReport(**fields)
     except TypeError as error:
         raise MalformedFrameError(str(error)) from error
 
--- a/src/lovageshunt/links/_messages.py
+++ b/src/lovageshunt/links/_messages.py
@@ -161,7 +161,7 @@
         self.refused_per_second = refused_per_second
 
 
-class NeedsNews(Record):
+class DemandReport(Record):
     """What runs at one target take, told to every node now and then.
 
     ``seconds_by_kind`` is how long a run of each kind holds a slot,
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -7,9 +7,9 @@
 
 from lovageshunt.clock import now as clock_now
 from lovageshunt.links import (
+    DemandReport,
     FrameKind,
     LoadNews,
-    NeedsNews,
     encode_load,
     encode_message,
 )
@@ -125,7 +125,7 @@
             clock_now(),
         )
 
-    def handle_demand(self, report: NeedsNews) -> None:
+    def handle_demand(self, report: DemandReport) -> None:
         """Record a node's arrivals and retries, and what its runs cost."""
         self.callers.learn(
             report.service,
@@ -225,7 +225,7 @@
             seconds_by_kind = dict(self._executor.demand.seconds_by_kind)
             calls_by_kind_by_kind = self._graph.calls_by_kind()
         own = self._fleet_state.greeting
-        report = NeedsNews(
+        report = DemandReport(
             node=own.node,
             service=own.service,
             seconds=min(seconds, _DEMAND_INTERVAL_SECONDS * 2),
