--- a/src/lovageshunt/links/__init__.py
+++ b/src/lovageshunt/links/__init__.py
@@ -1,6 +1,6 @@
 """Kept connections between nodes, each carrying many calls at a time."""
 
-from lovageshunt.links._codec import decode_needs, encode_message
+from lovageshunt.links._codec import decode_demand, encode_message
 from lovageshunt.links._dialer import Dialer, LinkListener
 from lovageshunt.links._frames import (
     Frame,
@@ -39,7 +39,7 @@
     'RunOrder',
     'decode_answer',
     'decode_load',
-    'decode_needs',
+    'decode_demand',
     'decode_order',
     'encode_answer',
     'encode_frame',
--- a/src/lovageshunt/links/_codec.py
+++ b/src/lovageshunt/links/_codec.py
@@ -23,7 +23,7 @@
         raise MalformedFrameError(str(error)) from error
 
 
-def decode_needs(payload: bytes) -> DemandReport:
+def decode_demand(payload: bytes) -> DemandReport:
     """Read needs; raises ``MalformedFrameError`` when it is none."""
     fields = _object(payload)
     try:
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -13,8 +13,8 @@
     LinkListener,
     OrderBook,
     OrderHandler,
+    decode_demand,
     decode_load,
-    decode_needs,
 )
 from lovageshunt.sidecar._fleet import Fleet
 from lovageshunt.sidecar._knowledge import FleetState
@@ -56,7 +56,7 @@
         if frame.kind == FrameKind.LOAD:
             self._reports.handle_load(decode_load(frame.payload))
         elif frame.kind == FrameKind.NEEDS:
-            report = decode_needs(frame.payload)
+            report = decode_demand(frame.payload)
             self._reports.handle_demand(report)
             self._request(report.revision, report.version, reply)
         elif frame.kind == FrameKind.LEAVING:
