--- a/src/lovageshunt/links/_frames.py
+++ b/src/lovageshunt/links/_frames.py
@@ -43,7 +43,7 @@
     PING = 5
     PONG = 6
     LOAD = 7
-    NEEDS = 8
+    DEMAND = 8
     LEAVING = 9
     PICTURE_WANTED = 10
     PICTURE = 11
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -55,7 +55,7 @@
         reply = self._fleet.dialer(host).tell
         if frame.kind == FrameKind.LOAD:
             self._reports.handle_load(decode_load(frame.payload))
-        elif frame.kind == FrameKind.NEEDS:
+        elif frame.kind == FrameKind.DEMAND:
             report = decode_demand(frame.payload)
             self._reports.handle_demand(report)
             self._request(report.revision, report.version, reply)
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -238,7 +238,7 @@
         )
         self.handle_demand(report)
         _log.debug('reporting demand', extra={'needs': report.as_dict()})
-        self._broadcast(FrameKind.NEEDS, encode_message(report))
+        self._broadcast(FrameKind.DEMAND, encode_message(report))
 
     def _drain_arrivals(self) -> dict[str, int]:
         arrived_by_kind = self._arrived_by_kind
