--- a/src/lovageshunt/links/__init__.py
+++ b/src/lovageshunt/links/__init__.py
@@ -18,9 +18,9 @@
 from lovageshunt.links._messages import (
     DemandReport,
     Greeting,
-    LoadNews,
     RunAnswer,
     RunOrder,
+    TargetLoadReport,
 )
 
 __all__ = [
@@ -31,7 +31,7 @@
     'Greeting',
     'IncomingLink',
     'LinkListener',
-    'LoadNews',
+    'TargetLoadReport',
     'DemandReport',
     'OrderBook',
     'OrderHandler',
--- a/src/lovageshunt/links/_frames.py
+++ b/src/lovageshunt/links/_frames.py
@@ -12,7 +12,7 @@
 from lovageshunt._record import Record
 from lovageshunt.calls import LoadReport, Outcome, RefusalReason
 from lovageshunt.errors import MalformedFrameError
-from lovageshunt.links._messages import LoadNews, RunAnswer, RunOrder
+from lovageshunt.links._messages import RunAnswer, RunOrder, TargetLoadReport
 
 _PREFIX: Final = Struct('!IBI')
 _LENGTH_SIZE: Final = 4
@@ -197,7 +197,7 @@
     )
 
 
-def encode_load(news: LoadNews) -> bytes:
+def encode_load(news: TargetLoadReport) -> bytes:
     """Write a target's load."""
     head = _LOAD.pack(
         news.load.running,
@@ -211,14 +211,14 @@
     return head + news.target_id.encode()
 
 
-def decode_load(payload: bytes) -> LoadNews:
+def decode_load(payload: bytes) -> TargetLoadReport:
     """Read a target's load; raises ``MalformedFrameError`` if it is none."""
     try:
         numbers = _LOAD.unpack_from(payload)
     except StructError as error:
         raise MalformedFrameError(str(error)) from error
     share, sent, refused = numbers[4:]
-    return LoadNews(
+    return TargetLoadReport(
         target_id=_text(payload[_LOAD.size :]),
         load=_load_of(list(numbers[:4])),
         share=share,
--- a/src/lovageshunt/links/_messages.py
+++ b/src/lovageshunt/links/_messages.py
@@ -128,7 +128,7 @@
         self.incarnation = incarnation
 
 
-class LoadNews(Record):
+class TargetLoadReport(Record):
     """A target's load, told to every node several times a second.
 
     ``share`` is the share of its demand that the target has room for. Of
--- a/src/lovageshunt/sidecar/_fleet.py
+++ b/src/lovageshunt/sidecar/_fleet.py
@@ -7,7 +7,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.clock import now as clock_now
-from lovageshunt.links import Dialer, LoadNews, RunAnswer
+from lovageshunt.links import Dialer, RunAnswer, TargetLoadReport
 from lovageshunt.routing import Placement, RouteMember, Wanted
 
 _log = getLogger(__name__)
@@ -137,7 +137,7 @@
         """Record that a node serves, so that its target is used normally."""
         self._leaving_hosts.discard(host)
 
-    def record_load(self, report: LoadNews) -> TargetEntry | None:
+    def record_load(self, report: TargetLoadReport) -> TargetEntry | None:
         """Record a target's load; return its entry, if it is listed."""
         entry = self.entry_by_id.get(report.target_id)
         if entry is not None:
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -9,7 +9,7 @@
 from lovageshunt.links import (
     DemandReport,
     FrameKind,
-    LoadNews,
+    TargetLoadReport,
     encode_load,
     encode_message,
 )
@@ -108,7 +108,7 @@
         self._load_reported_at = float('-inf')
         self._demand_reported_at = float('-inf')
 
-    def handle_load(self, report: LoadNews) -> None:
+    def handle_load(self, report: TargetLoadReport) -> None:
         """Record a target's load; ignore a target that is not listed."""
         entry = self._fleet.record_load(report)
         if entry is None:
@@ -190,7 +190,7 @@
         self._reported_share = share
         self._reported_accepted = accepted
         self._load_reported_at = now
-        report = LoadNews(
+        report = TargetLoadReport(
             target_id=entry.target_id,
             load=load,
             share=share,
--- a/tests/links/test_frames.py
+++ b/tests/links/test_frames.py
@@ -9,9 +9,9 @@
 from lovageshunt.links import (
     FrameKind,
     FrameReader,
-    LoadNews,
     RunAnswer,
     RunOrder,
+    TargetLoadReport,
     decode_answer,
     decode_load,
     decode_order,
@@ -144,7 +144,7 @@
 
     def test_keeps_every_field(self) -> None:
         """Load, share and target arrive as they left."""
-        news = LoadNews(
+        news = TargetLoadReport(
             target_id='i-1',
             load=LOAD,
             share=0.5,
