--- a/src/lovageshunt/links/_frames.py
+++ b/src/lovageshunt/links/_frames.py
@@ -45,7 +45,7 @@
     LOAD = 7
     DEMAND = 8
     LEAVING = 9
-    PICTURE_WANTED = 10
+    SNAPSHOT_REQUEST = 10
     PICTURE = 11
 
 
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -73,13 +73,13 @@
 
     def _request(self, revision: int, version: int, reply: Reply) -> None:
         if self._fleet_state.should_request(revision, version):
-            reply(FrameKind.PICTURE_WANTED, b'')
+            reply(FrameKind.SNAPSHOT_REQUEST, b'')
 
     def _on_snapshot(self, frame: Frame, reply: Reply) -> None:
         """Apply or send a snapshot; ignore frames of unknown kinds."""
         if frame.kind == FrameKind.PICTURE:
             self._fleet_state.apply_snapshot(decode_snapshot(frame.payload))
-        elif frame.kind == FrameKind.PICTURE_WANTED:
+        elif frame.kind == FrameKind.SNAPSHOT_REQUEST:
             reply(
                 FrameKind.PICTURE,
                 encode_snapshot(self._fleet_state.snapshot()),
