--- a/src/lovageshunt/links/_frames.py
+++ b/src/lovageshunt/links/_frames.py
@@ -46,7 +46,7 @@
     DEMAND = 8
     LEAVING = 9
     SNAPSHOT_REQUEST = 10
-    PICTURE = 11
+    SNAPSHOT = 11
 
 
 class Frame(Record):
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -77,11 +77,11 @@
 
     def _on_snapshot(self, frame: Frame, reply: Reply) -> None:
         """Apply or send a snapshot; ignore frames of unknown kinds."""
-        if frame.kind == FrameKind.PICTURE:
+        if frame.kind == FrameKind.SNAPSHOT:
             self._fleet_state.apply_snapshot(decode_snapshot(frame.payload))
         elif frame.kind == FrameKind.SNAPSHOT_REQUEST:
             reply(
-                FrameKind.PICTURE,
+                FrameKind.SNAPSHOT,
                 encode_snapshot(self._fleet_state.snapshot()),
             )
 
