--- a/src/lovageshunt/links/__init__.py
+++ b/src/lovageshunt/links/__init__.py
@@ -14,7 +14,7 @@
     encode_load,
     encode_order,
 )
-from lovageshunt.links._incoming import IncomingLink, OrderBook, OrderHandler
+from lovageshunt.links._incoming import IncomingLink, OrderHandler, RecentOrders
 from lovageshunt.links._messages import (
     DemandReport,
     Greeting,
@@ -33,7 +33,7 @@
     'LinkListener',
     'TargetLoadReport',
     'DemandReport',
-    'OrderBook',
+    'RecentOrders',
     'OrderHandler',
     'RunAnswer',
     'RunOrder',
--- a/src/lovageshunt/links/_incoming.py
+++ b/src/lovageshunt/links/_incoming.py
@@ -60,7 +60,7 @@
         self.link = link
 
 
-class OrderBook:
+class RecentOrders:
     """Every order lately taken, by its sender's incarnation and number."""
 
     __slots__ = ('by_key', '_answered')
@@ -85,7 +85,7 @@
         self,
         *,
         handler: OrderHandler,
-        book: OrderBook,
+        book: RecentOrders,
         greeting: Greeting,
         open_links: set['IncomingLink'],
         heard: Callable[['IncomingLink', Frame], None],
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -11,8 +11,8 @@
     Greeting,
     IncomingLink,
     LinkListener,
-    OrderBook,
     OrderHandler,
+    RecentOrders,
     decode_demand,
     decode_load,
 )
@@ -106,7 +106,7 @@
         self._port = port
         self._greeting = greeting
         self._numbers = count(1)
-        self._book = OrderBook()
+        self._book = RecentOrders()
         self._incoming: set[IncomingLink] = set()
         self.frame_handler: FrameHandler | None = None
 
