--- a/src/lovageshunt/links/_dialer.py
+++ b/src/lovageshunt/links/_dialer.py
@@ -66,16 +66,16 @@
 class LinkListener(Record):
     """What a dialer tells its owner: frames of other kinds, and greetings."""
 
-    __slots__ = ('heard', 'greeted')
+    __slots__ = ('on_frame', 'greeted')
 
     def __init__(
         self,
         *,
-        heard: Callable[[str, Frame], None],
+        on_frame: Callable[[str, Frame], None],
         greeted: Callable[[str, Greeting], None],
     ) -> None:
         """Take both; the first argument of each is the address."""
-        self.heard = heard
+        self.on_frame = on_frame
         self.greeted = greeted
 
 
@@ -206,7 +206,7 @@
             if sent is not None:
                 sent.ended(decode_answer(frame.payload))
             return
-        self._listener.heard(self._host, frame)
+        self._listener.on_frame(self._host, frame)
 
     def lost(self, connection: '_DialedConnection', reason: str) -> None:
         """Make the link anew."""
--- a/src/lovageshunt/links/_incoming.py
+++ b/src/lovageshunt/links/_incoming.py
@@ -88,14 +88,14 @@
         book: RecentOrders,
         greeting: Greeting,
         open_links: set['IncomingLink'],
-        heard: Callable[['IncomingLink', Frame], None],
+        on_frame: Callable[['IncomingLink', Frame], None],
     ) -> None:
         """Serve orders with a handler; join the set of open links."""
         self._handler = handler
         self._book = book
         self._greeting = greeting
         self._open = open_links
-        self._heard = heard
+        self._heard = on_frame
         self._transport: Transport | None = None
         self._reader = FrameReader()
         self.peer: Greeting | None = None
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -117,7 +117,7 @@
             self._port,
             greeting=self._greeting,
             listener=LinkListener(
-                heard=self._on_dialed,
+                on_frame=self._on_dialed,
                 greeted=self._on_greeted,
             ),
             numbers=self._numbers,
@@ -130,7 +130,7 @@
             book=self._book,
             greeting=self._greeting,
             open_links=self._incoming,
-            heard=self._on_incoming,
+            on_frame=self._on_incoming,
         )
 
     def broadcast(self, kind: FrameKind, payload: bytes) -> None:
--- a/tests/links/test_dialer.py
+++ b/tests/links/test_dialer.py
@@ -75,7 +75,7 @@
         PORT,
         greeting=Greeting(node='o', service='s', incarnation='own'),
         listener=LinkListener(
-            heard=lambda host, frame: None,
+            on_frame=lambda host, frame: None,
             greeted=lambda host, greeting: None,
         ),
         numbers=count(1),
