--- a/src/lovageshunt/links/_dialer.py
+++ b/src/lovageshunt/links/_dialer.py
@@ -66,17 +66,17 @@
 class LinkListener(Record):
     """What a dialer tells its owner: frames of other kinds, and greetings."""
 
-    __slots__ = ('on_frame', 'greeted')
+    __slots__ = ('on_frame', 'on_greeting')
 
     def __init__(
         self,
         *,
         on_frame: Callable[[str, Frame], None],
-        greeted: Callable[[str, Greeting], None],
+        on_greeting: Callable[[str, Greeting], None],
     ) -> None:
         """Take both; the first argument of each is the address."""
         self.on_frame = on_frame
-        self.greeted = greeted
+        self.on_greeting = on_greeting
 
 
 class Dialer:
@@ -185,7 +185,9 @@
 
     # What the connection calls.
 
-    def greeted(self, connection: '_DialedConnection', hello: Greeting) -> None:
+    def on_greeting(
+        self, connection: '_DialedConnection', hello: Greeting
+    ) -> None:
         """Begin to use a link; go on with what was on the last one."""
         is_same = hello.incarnation == self._incarnation
         self._incarnation = hello.incarnation
@@ -197,7 +199,7 @@
                 self._give_up(stream)
             else:
                 self._write(stream, sent)
-        self._listener.greeted(self._host, hello)
+        self._listener.on_greeting(self._host, hello)
 
     def received(self, frame: Frame) -> None:
         """Take a frame from the other side."""
@@ -342,7 +344,7 @@
 
     def _take(self, frame: Frame) -> None:
         if frame.kind == FrameKind.GREETING:
-            self._dialer.greeted(self, decode_greeting(frame.payload))
+            self._dialer.on_greeting(self, decode_greeting(frame.payload))
             if not self.greeting.done():
                 self.greeting.set_result(None)
         elif frame.kind != FrameKind.PONG:
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -118,7 +118,7 @@
             greeting=self._greeting,
             listener=LinkListener(
                 on_frame=self._on_dialed,
-                greeted=self._on_greeted,
+                on_greeting=self._on_greeted,
             ),
             numbers=self._numbers,
         )
--- a/tests/links/test_dialer.py
+++ b/tests/links/test_dialer.py
@@ -76,7 +76,7 @@
         greeting=Greeting(node='o', service='s', incarnation='own'),
         listener=LinkListener(
             on_frame=lambda host, frame: None,
-            greeted=lambda host, greeting: None,
+            on_greeting=lambda host, greeting: None,
         ),
         numbers=count(1),
     )
