--- a/src/lovageshunt/links/_dialer.py
+++ b/src/lovageshunt/links/_dialer.py
@@ -178,7 +178,7 @@
         if self._connection is not None:
             self._connection.write(encode_frame(FrameKind.CANCEL, stream))
 
-    def tell(self, kind: FrameKind, payload: bytes = b'') -> None:
+    def send_frame(self, kind: FrameKind, payload: bytes = b'') -> None:
         """Send a frame that belongs to no call, if the link is up."""
         if self._connection is not None:
             self._connection.write(encode_frame(kind, 0, payload))
--- a/src/lovageshunt/links/_incoming.py
+++ b/src/lovageshunt/links/_incoming.py
@@ -127,7 +127,7 @@
             _log.warning('a link is closed: %s', error)
             self.close()
 
-    def tell(self, kind: FrameKind, payload: bytes = b'') -> None:
+    def send_frame(self, kind: FrameKind, payload: bytes = b'') -> None:
         """Send a frame that belongs to no call, if the link is open."""
         if self._transport is not None:
             self._transport.write(encode_frame(kind, 0, payload))
@@ -156,7 +156,7 @@
         elif frame.kind == FrameKind.CANCEL:
             self._cancel(frame.stream)
         elif frame.kind == FrameKind.PING:
-            self.tell(FrameKind.PONG)
+            self.send_frame(FrameKind.PONG)
         elif frame.kind == FrameKind.GREETING:
             self.peer = decode_greeting(frame.payload)
             self._heard(self, frame)
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -46,13 +46,15 @@
     def on_incoming(self, link: IncomingLink, frame: Frame) -> None:
         """Handle a frame on a link that the other node opened."""
         if frame.kind == FrameKind.GREETING and link.peer is not None:
-            self._request(link.peer.revision, link.peer.version, link.tell)
+            self._request(
+                link.peer.revision, link.peer.version, link.send_frame
+            )
         else:
-            self._on_snapshot(frame, link.tell)
+            self._on_snapshot(frame, link.send_frame)
 
     def on_dialed(self, host: str, frame: Frame) -> None:
         """Handle a frame on a link that this node opened."""
-        reply = self._fleet.dialer(host).tell
+        reply = self._fleet.dialer(host).send_frame
         if frame.kind == FrameKind.LOAD:
             self._reports.handle_load(decode_load(frame.payload))
         elif frame.kind == FrameKind.DEMAND:
@@ -68,7 +70,7 @@
         """Note an established link; request newer state from its node."""
         _log.info('link established', extra={'peer': greeting.node})
         self._fleet.note_connected(host)
-        reply = self._fleet.dialer(host).tell
+        reply = self._fleet.dialer(host).send_frame
         self._request(greeting.revision, greeting.version, reply)
 
     def _request(self, revision: int, version: int, reply: Reply) -> None:
@@ -136,7 +138,7 @@
     def broadcast(self, kind: FrameKind, payload: bytes) -> None:
         """Send a frame to every node that has a link to this one."""
         for link in self._incoming:
-            link.tell(kind, payload)
+            link.send_frame(kind, payload)
 
     def close_incoming(self) -> None:
         """Close the links from other nodes, which then reconnect."""
