--- a/src/lovageshunt/http1/__init__.py
+++ b/src/lovageshunt/http1/__init__.py
@@ -15,7 +15,7 @@
     first_header,
     forwarded_fields,
 )
-from lovageshunt.http1._pool import ConnectionPool, Sending
+from lovageshunt.http1._pool import ConnectionPool, PendingExchange
 from lovageshunt.http1._server import RequestHandler, ServerConnection
 
 __all__ = [
@@ -26,7 +26,7 @@
     'Request',
     'RequestHandler',
     'Response',
-    'Sending',
+    'PendingExchange',
     'ServerConnection',
     'ServerLimits',
     'encode_request',
--- a/src/lovageshunt/http1/_pool.py
+++ b/src/lovageshunt/http1/_pool.py
@@ -19,7 +19,7 @@
 _IDLE_SECONDS: Final = 5.0
 
 
-class Sending:
+class PendingExchange:
     """An exchange that was given to a pool; it ends exactly once."""
 
     __slots__ = ('_ended', '_exchange', '_connection', '_is_over')
@@ -81,14 +81,14 @@
         self,
         exchange: Exchange,
         fresh_within_seconds: float | None = None,
-    ) -> Sending:
+    ) -> PendingExchange:
         """Send on a kept connection, or on a new one.
 
         ``fresh_within_seconds`` asks for a connection that was used so
         lately, for a request that must not meet a closing one. With no
         connection to be had the exchange ends unsent.
         """
-        sending = Sending(exchange)
+        sending = PendingExchange(exchange)
         connection = self._take_idle(fresh_within_seconds)
         if connection is None:
             self._open(sending)
@@ -119,7 +119,7 @@
             connection.close()
         return None
 
-    def _open(self, sending: Sending) -> None:
+    def _open(self, sending: PendingExchange) -> None:
         if self._open_count >= self.most:
             sending.end(ExchangeEnd.UNSENT, None)
             return
@@ -128,7 +128,7 @@
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
-    async def _connect(self, sending: Sending) -> None:
+    async def _connect(self, sending: PendingExchange) -> None:
         loop = get_running_loop()
         try:
             async with timeout(_CONNECT_SECONDS):
--- a/src/lovageshunt/sidecar/_run.py
+++ b/src/lovageshunt/sidecar/_run.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from lovageshunt.clock import now as clock_now
-from lovageshunt.http1 import Sending, encode_request
+from lovageshunt.http1 import PendingExchange, encode_request
 from lovageshunt.links import RunAnswer, RunOrder
 from lovageshunt.sidecar._header_names import HeaderNames
 
@@ -45,7 +45,7 @@
         self.call_id = call_id
         self.order = order
         self.ended: EndedCallback | None = ended
-        self.sending: Sending | None = None
+        self.sending: PendingExchange | None = None
         self.arrived_at = clock_now()
         self.sent_at = float(0)
         self.overdue: TimerHandle | None = None
