--- a/src/lovageshunt/http1/_pool.py
+++ b/src/lovageshunt/http1/_pool.py
@@ -63,11 +63,11 @@
 class ConnectionPool:
     """Sends exchanges over as few connections to one address as it can."""
 
-    def __init__(self, host: str, port: int, most: int) -> None:
-        """Open at most ``most`` connections."""
+    def __init__(self, host: str, port: int, max_connections: int) -> None:
+        """Open at most ``max_connections`` connections."""
         self._host = host
         self._port = port
-        self.most = most
+        self.max_connections = max_connections
         self._idle: list[ClientConnection] = []
         self._open_count = 0
         self._connecting: set[Task[None]] = set()
@@ -120,7 +120,7 @@
         return None
 
     def _open(self, sending: PendingExchange) -> None:
-        if self._open_count >= self.most:
+        if self._open_count >= self.max_connections:
             sending.end(ExchangeEnd.UNSENT, None)
             return
         self._open_count += 1
--- a/src/lovageshunt/sidecar/_sidecar.py
+++ b/src/lovageshunt/sidecar/_sidecar.py
@@ -285,7 +285,7 @@
         limits.idle_seconds = configuration.idle_seconds
         own = configuration.limits_by_service.get(self._settings.node.service)
         if own is not None:
-            self._executor.pool.most = own.connections
+            self._executor.pool.max_connections = own.connections
 
     def _on_targets(self) -> None:
         """Apply the node count and the own target's published slots."""
--- a/tests/http1/test_pool.py
+++ b/tests/http1/test_pool.py
@@ -37,10 +37,12 @@
 
 
 @asynccontextmanager
-async def pooled(most: int = 5) -> AsyncIterator[tuple[Server, ConnectionPool]]:
+async def pooled(
+    max_connections: int = 5,
+) -> AsyncIterator[tuple[Server, ConnectionPool]]:
     side = Server()
     server = await asyncio.start_server(side.serve, HOST, PORT)
-    pool = ConnectionPool(HOST, PORT, most)
+    pool = ConnectionPool(HOST, PORT, max_connections)
     try:
         yield side, pool
     finally:
@@ -100,7 +102,7 @@
 
     async def test_is_unsent_without_room(self) -> None:
         """Beyond the connections that the server bears nothing is sent."""
-        async with pooled(most=1) as (_, pool):
+        async with pooled(max_connections=1) as (_, pool):
             ends: list[ExchangeEnd] = []
             pool.send(exchange([]))
             pool.send(exchange(ends))
