--- a/src/lovageshunt/http1/_client.py
+++ b/src/lovageshunt/http1/_client.py
@@ -125,7 +125,7 @@
         """End the exchange; a clean end may complete an unframed answer."""
         self._transport = None
         if exc is None and self._ends_here():
-            self._end(ExchangeEnd.WHOLE, self._response())
+            self._end(ExchangeEnd.COMPLETE, self._response())
         self._end(self._loss(), None)
         self._closed(self)
 
@@ -208,7 +208,7 @@
         self._ready = None
         if self._has_surplus or not self._keeps_alive:
             self.close()
-        self._end(ExchangeEnd.WHOLE, response)
+        self._end(ExchangeEnd.COMPLETE, response)
 
     def _end(self, end: ExchangeEnd, response: Response | None) -> None:
         exchange = self._exchange
--- a/src/lovageshunt/http1/_messages.py
+++ b/src/lovageshunt/http1/_messages.py
@@ -85,13 +85,13 @@
 class ExchangeEnd(StrEnum):
     """How an exchange ended.
 
-    ``WHOLE``: the whole response arrived. ``UNSENT``: no byte of the request
+    ``COMPLETE``: the whole response arrived. ``UNSENT``: no byte of the request
     was written. ``CLOSED``: the peer closed a kept connection before the
     first byte of a response. ``CUT``: the response was lost, broken off or
     not this request's. ``CANCELLED``: this side gave the exchange up.
     """
 
-    WHOLE = 'whole'
+    COMPLETE = 'whole'
     UNSENT = 'unsent'
     CLOSED = 'closed'
     CUT = 'cut'
--- a/src/lovageshunt/sidecar/_classification.py
+++ b/src/lovageshunt/sidecar/_classification.py
@@ -57,7 +57,7 @@
             reason=RefusalReason.CANCELLED,
             detail='cancelled by this node',
         )
-    if end is not ExchangeEnd.WHOLE or response is None:
+    if end is not ExchangeEnd.COMPLETE or response is None:
         return _unknown('response lost or truncated')
     return _classify_complete(response, header_names)
 
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -11,7 +11,7 @@
 from tests.http1.wire import FakeTransport
 
 OURS = (b'x-attempt', b'a1')
-WHOLE = b'HTTP/1.1 200 OK\r\nX-Attempt: a1\r\nContent-Length: 2\r\n\r\nok'
+COMPLETE = b'HTTP/1.1 200 OK\r\nX-Attempt: a1\r\nContent-Length: 2\r\n\r\nok'
 STALE = b'HTTP/1.1 200 OK\r\nX-Attempt: a0\r\nContent-Length: 3\r\n\r\nold'
 UNFRAMED = b'HTTP/1.1 200 OK\r\nX-Attempt: a1\r\n\r\npart'
 
@@ -63,8 +63,8 @@
     def test_hands_over_a_whole_answer(self) -> None:
         """An answer in parts is handed over once, and whole."""
         wire = Wire()
-        wire.receive(WHOLE[:20], WHOLE[20:])
-        assert wire.only_end is ExchangeEnd.WHOLE
+        wire.receive(COMPLETE[:20], COMPLETE[20:])
+        assert wire.only_end is ExchangeEnd.COMPLETE
         assert wire.body == b'ok'
         assert wire.freed == [wire.connection]
 
@@ -73,13 +73,13 @@
         wire = Wire()
         wire.receive(STALE)
         assert not wire.ends
-        wire.receive(WHOLE)
+        wire.receive(COMPLETE)
         assert wire.body == b'ok'
 
     def test_closes_after_bytes_behind_an_answer(self) -> None:
         """The answer counts, and its connection is used no more."""
         wire = Wire()
-        wire.receive(WHOLE + STALE)
+        wire.receive(COMPLETE + STALE)
         assert wire.body == b'ok'
         assert wire.transport.is_closed
         assert not wire.freed
@@ -87,15 +87,15 @@
     def test_closes_when_idle_and_bytes_come(self) -> None:
         """Bytes that nobody waits for end the connection."""
         wire = Wire()
-        wire.receive(WHOLE)
+        wire.receive(COMPLETE)
         wire.receive(STALE)
         assert wire.transport.is_closed
 
     def test_takes_garbage_behind_an_answer(self) -> None:
         """Garbage behind a whole answer costs the connection only."""
         wire = Wire()
-        wire.receive(WHOLE + b'\x00\x00\x00')
-        assert wire.only_end is ExchangeEnd.WHOLE
+        wire.receive(COMPLETE + b'\x00\x00\x00')
+        assert wire.only_end is ExchangeEnd.COMPLETE
         assert wire.transport.is_closed
 
     def test_is_cut_by_garbage(self) -> None:
@@ -107,7 +107,7 @@
     def test_is_cut_when_the_answer_breaks_off(self) -> None:
         """A close before the last byte is never a whole answer."""
         wire = Wire()
-        wire.receive(WHOLE[:-1])
+        wire.receive(COMPLETE[:-1])
         wire.connection.connection_lost(None)
         assert wire.only_end is ExchangeEnd.CUT
 
@@ -117,7 +117,7 @@
         wire.receive(UNFRAMED)
         assert not wire.ends
         wire.connection.connection_lost(None)
-        assert wire.only_end is ExchangeEnd.WHOLE
+        assert wire.only_end is ExchangeEnd.COMPLETE
         assert wire.body == b'part'
 
     def test_is_cut_when_an_unframed_answer_is_reset(self) -> None:
@@ -130,7 +130,7 @@
     def test_tells_a_close_before_any_answer(self) -> None:
         """A kept connection that closes as the request comes says so."""
         wire = Wire()
-        wire.receive(WHOLE)
+        wire.receive(COMPLETE)
         wire.send()
         wire.connection.connection_lost(None)
         assert wire.ends[-1][0] is ExchangeEnd.CLOSED
@@ -153,14 +153,14 @@
         wire = Wire(has_body=False)
         wire.receive(b'HTTP/1.1 200 OK\r\nX-Attempt: a1\r\n')
         wire.receive(b'Content-Length: 9\r\n\r\n')
-        assert wire.only_end is ExchangeEnd.WHOLE
+        assert wire.only_end is ExchangeEnd.COMPLETE
 
     def test_passes_over_interim_answers(self) -> None:
         """A 100 is not the answer."""
         wire = Wire()
         wire.receive(b'HTTP/1.1 100 Continue\r\n\r\n')
         assert not wire.ends
-        wire.receive(WHOLE)
+        wire.receive(COMPLETE)
         assert wire.body == b'ok'
 
     @pytest.mark.parametrize(
@@ -174,6 +174,6 @@
     ) -> None:
         """The target's word on idle connections is kept."""
         wire = Wire()
-        head, _, body = WHOLE.partition(b'\r\n\r\n')
+        head, _, body = COMPLETE.partition(b'\r\n\r\n')
         wire.receive(head + b'\r\nKeep-Alive: ' + field + b'\r\n\r\n' + body)
         assert wire.connection.idle_limit_seconds == seconds
--- a/tests/http1/test_pool.py
+++ b/tests/http1/test_pool.py
@@ -75,7 +75,7 @@
             for count in (1, 2):
                 pool.send(exchange(ends))
                 await until_ended(ends, count)
-            assert ends == [ExchangeEnd.WHOLE] * 2
+            assert ends == [ExchangeEnd.COMPLETE] * 2
             assert server.connections == 1
 
     async def test_ends_once_when_cancelled(self) -> None:
@@ -98,7 +98,7 @@
             pool.send(exchange(ends))
             first.cancel()
             await until_ended(ends, 2)
-            assert ends == [ExchangeEnd.WHOLE] * 2
+            assert ends == [ExchangeEnd.COMPLETE] * 2
 
     async def test_is_unsent_without_room(self) -> None:
         """Beyond the connections that the server bears nothing is sent."""
