--- a/src/lovageshunt/http1/_client.py
+++ b/src/lovageshunt/http1/_client.py
@@ -141,7 +141,7 @@
             self._has_surplus = True
             if self._ready is None:
                 self.close()
-                self._end(ExchangeEnd.CUT, None)
+                self._end(ExchangeEnd.INCOMPLETE, None)
         self._deliver()
 
     # What the parser calls.
@@ -230,7 +230,7 @@
 
     def _loss(self) -> ExchangeEnd:
         if self._has_bytes or self._is_first:
-            return ExchangeEnd.CUT
+            return ExchangeEnd.INCOMPLETE
         return ExchangeEnd.CLOSED
 
     def _note_idle_limit(self) -> None:
--- a/src/lovageshunt/http1/_messages.py
+++ b/src/lovageshunt/http1/_messages.py
@@ -85,16 +85,17 @@
 class ExchangeEnd(StrEnum):
     """How an exchange ended.
 
-    ``COMPLETE``: the whole response arrived. ``UNSENT``: no byte of the request
-    was written. ``CLOSED``: the peer closed a kept connection before the
-    first byte of a response. ``CUT``: the response was lost, broken off or
-    not this request's. ``CANCELLED``: this side gave the exchange up.
+    ``COMPLETE``: the complete response was received. ``UNSENT``: no byte of
+    the request was written. ``CLOSED``: the peer closed a reused connection
+    before the first byte of a response. ``INCOMPLETE``: the response was
+    lost, truncated, malformed or that of another request. ``CANCELLED``: this
+    side cancelled the exchange.
     """
 
     COMPLETE = 'whole'
     UNSENT = 'unsent'
     CLOSED = 'closed'
-    CUT = 'cut'
+    INCOMPLETE = 'cut'
     CANCELLED = 'cancelled'
 
 
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -102,14 +102,14 @@
         """Bytes that are no answer end the exchange as cut."""
         wire = Wire()
         wire.receive(b'nonsense\r\n\r\n')
-        assert wire.only_end is ExchangeEnd.CUT
+        assert wire.only_end is ExchangeEnd.INCOMPLETE
 
     def test_is_cut_when_the_answer_breaks_off(self) -> None:
         """A close before the last byte is never a whole answer."""
         wire = Wire()
         wire.receive(COMPLETE[:-1])
         wire.connection.connection_lost(None)
-        assert wire.only_end is ExchangeEnd.CUT
+        assert wire.only_end is ExchangeEnd.INCOMPLETE
 
     def test_takes_an_unframed_answer_at_its_end(self) -> None:
         """An answer without a length is whole when the target ends it."""
@@ -125,7 +125,7 @@
         wire = Wire()
         wire.receive(UNFRAMED)
         wire.connection.connection_lost(ConnectionResetError())
-        assert wire.only_end is ExchangeEnd.CUT
+        assert wire.only_end is ExchangeEnd.INCOMPLETE
 
     def test_tells_a_close_before_any_answer(self) -> None:
         """A kept connection that closes as the request comes says so."""
@@ -139,7 +139,7 @@
         """A first request that meets a close may have been read."""
         wire = Wire()
         wire.connection.connection_lost(None)
-        assert wire.only_end is ExchangeEnd.CUT
+        assert wire.only_end is ExchangeEnd.INCOMPLETE
 
     def test_closes_when_cancelled(self) -> None:
         """Giving an exchange up closes its connection."""
