--- a/src/lovageshunt/links/_incoming.py
+++ b/src/lovageshunt/links/_incoming.py
@@ -37,7 +37,7 @@
 class OrderHandler(Interface):
     """Runs the orders that arrive on links."""
 
-    def ordered(
+    def submit(
         self,
         order: RunOrder,
         ended: Callable[[RunAnswer], None],
@@ -176,7 +176,7 @@
         order = decode_order(frame.payload, clock_now())
         taken = _Taken(self)
         self._book.by_key[key] = taken
-        token = self._handler.ordered(order, partial(self.answer, key, taken))
+        token = self._handler.submit(order, partial(self.answer, key, taken))
         if taken.answer is None:
             taken.token = token
 
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -120,7 +120,7 @@
         self._published = (target_id, slots)
         self._handle(LoadReported(running=0, slots=slots))
 
-    def ordered(self, order: RunOrder, ended: EndedCallback) -> Run:
+    def submit(self, order: RunOrder, ended: EndedCallback) -> Run:
         """Queue an order; call ``ended`` once, unless it is abandoned."""
         self._next_number += 1
         run = Run(str(self._next_number), order, ended)
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -233,7 +233,7 @@
         ended = partial(self._on_ended, call, attempt)
         host = attempt.entry.host
         if host == self._own_host:
-            run = self._executor.ordered(order, ended)
+            run = self._executor.submit(order, ended)
             attempt.cancel = partial(self._executor.abandoned, run)
             return
         dialer = self._fleet.dialer(host)
--- a/tests/sidecar/test_executor.py
+++ b/tests/sidecar/test_executor.py
@@ -81,8 +81,8 @@
         """One repeat among two runs is half; after they ended it is 0."""
         executor = executor_of(target)
         answers: list[RunAnswer] = []
-        executor.ordered(order('a', is_repeat=True), answers.append)
-        executor.ordered(order('b', is_repeat=False), answers.append)
+        executor.submit(order('a', is_repeat=True), answers.append)
+        executor.submit(order('b', is_repeat=False), answers.append)
         assert executor.repeat_share == 1 / 2
         target.go_on.set()
         async with asyncio.timeout(2):
@@ -96,6 +96,6 @@
     ) -> None:
         """A repeat that was cancelled no longer counts."""
         executor = executor_of(target)
-        run = executor.ordered(order('a', is_repeat=True), lambda _: None)
+        run = executor.submit(order('a', is_repeat=True), lambda _: None)
         executor.abandoned(run)
         assert executor.repeat_share == 0
--- a/tests/sidecar/test_origin.py
+++ b/tests/sidecar/test_origin.py
@@ -31,7 +31,7 @@
     def repeat_share(self) -> float:
         return self.share
 
-    def ordered(self, order: RunOrder, ended: EndedCallback) -> None:  # type: ignore[override]
+    def submit(self, order: RunOrder, ended: EndedCallback) -> None:  # type: ignore[override]
         self.orders.append(order)
         self.ended.append(ended)
 
