--- a/src/lovageshunt/http1/_server.py
+++ b/src/lovageshunt/http1/_server.py
@@ -25,7 +25,7 @@
 class RequestHandler(Interface):
     """Takes the whole requests of all client connections."""
 
-    def started(self, request: Request, connection: 'ServerConnection') -> Any:
+    def handle(self, request: Request, connection: 'ServerConnection') -> Any:
         """Begin a request; return a token for ``abandoned``.
 
         The answer goes to ``connection.respond`` once, now or later.
@@ -223,7 +223,7 @@
 
     def _start(self, request: Request) -> None:
         self._current = request
-        token = self._handler.started(request, self)
+        token = self._handler.handle(request, self)
         # The answer may have been given within the call.
         if self._current is request:
             self._token = token
--- a/src/lovageshunt/sidecar/_metrics.py
+++ b/src/lovageshunt/sidecar/_metrics.py
@@ -89,7 +89,7 @@
     def __init__(self, metrics: SidecarMetrics) -> None:
         self._metrics = metrics
 
-    def started(self, request: Request, connection: ServerConnection) -> None:
+    def handle(self, request: Request, connection: ServerConnection) -> None:
         """Respond at once."""
         body, headers = self._metrics.render()
         fields = ''.join(
@@ -102,4 +102,4 @@
         )
 
     def abandoned(self, token: None) -> None:
-        """Do nothing: every request is complete when ``started`` returns."""
+        """Do nothing: every request is complete when ``handle`` returns."""
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -90,7 +90,7 @@
         """Route further requests by this configuration."""
         self._table = RouteTable.of(configuration)
 
-    def started(
+    def handle(
         self,
         request: Request,
         connection: ServerConnection,
--- a/src/lovageshunt/sidecar/_sidecar.py
+++ b/src/lovageshunt/sidecar/_sidecar.py
@@ -327,10 +327,10 @@
     def __init__(self, sidecar: Sidecar) -> None:
         self._sidecar = sidecar
 
-    def started(self, request: Request, connection: ServerConnection) -> None:
+    def handle(self, request: Request, connection: ServerConnection) -> None:
         """Respond at once."""
         status = _READY if self._sidecar.is_ready else _NOT_READY
         connection.respond(status=status, fields=b'', body=b'')
 
     def abandoned(self, token: None) -> None:
-        """Do nothing: every request is complete when ``started`` returns."""
+        """Do nothing: every request is complete when ``handle`` returns."""
--- a/standins/store.py
+++ b/standins/store.py
@@ -71,7 +71,7 @@
         self._items.pop(key)
         self._tell({'key': key, 'rev': self.revision, 'tombstone': True})
 
-    def started(self, request: Request, connection: ServerConnection) -> None:
+    def handle(self, request: Request, connection: ServerConnection) -> None:
         """Answer a question, unless it is to be silent."""
         self.calls += 1
         if self.is_silent:
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -15,7 +15,7 @@
         self.requests: list[Request] = []
         self.abandoned_tokens: list[Any] = []
 
-    def started(self, request: Request, connection: ServerConnection) -> int:
+    def handle(self, request: Request, connection: ServerConnection) -> int:
         self.requests.append(request)
         return len(self.requests)
 
--- a/tests/sidecar/test_origin.py
+++ b/tests/sidecar/test_origin.py
@@ -119,7 +119,7 @@
             body=b'',
             keeps_alive=True,
         )
-        self.origin.started(request, self.connection)
+        self.origin.handle(request, self.connection)
 
     def fail_last(self) -> None:
         """End the last order with an unknown outcome."""
