--- a/src/lovageshunt/http1/_server.py
+++ b/src/lovageshunt/http1/_server.py
@@ -26,12 +26,12 @@
     """Takes the whole requests of all client connections."""
 
     def handle(self, request: Request, connection: 'ServerConnection') -> Any:
-        """Begin a request; return a token for ``abandoned``.
+        """Begin a request; return a token for ``abandon``.
 
         The answer goes to ``connection.respond`` once, now or later.
         """
 
-    def abandoned(self, token: Any) -> None:
+    def abandon(self, token: Any) -> None:
         """Give up a request whose client has left."""
 
 
@@ -94,7 +94,7 @@
         self._ahead.clear()
         if self._current is not None:
             self._current = None
-            self._handler.abandoned(self._token)
+            self._handler.abandon(self._token)
             self._token = None
 
     def data_received(self, data: bytes) -> None:
--- a/src/lovageshunt/links/_incoming.py
+++ b/src/lovageshunt/links/_incoming.py
@@ -42,9 +42,9 @@
         order: RunOrder,
         ended: Callable[[RunAnswer], None],
     ) -> Any:
-        """Run an order; return a token for ``abandoned``."""
+        """Run an order; return a token for ``abandon``."""
 
-    def abandoned(self, token: Any) -> None:
+    def abandon(self, token: Any) -> None:
         """Give up an order whose sender no longer wants it."""
 
 
@@ -185,10 +185,10 @@
             return
         taken = self._book.by_key.get((self.peer.incarnation, stream))
         if taken is not None and taken.token is not None:
-            self._handler.abandoned(taken.token)
+            self._handler.abandon(taken.token)
 
     def _abandon_all(self) -> None:
         """Cancel the calls of a sender that did not come back."""
         for taken in list(self._book.by_key.values()):
             if taken.link is self and taken.token is not None:
-                self._handler.abandoned(taken.token)
+                self._handler.abandon(taken.token)
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -141,7 +141,7 @@
         )
         return run
 
-    def abandoned(self, run: Run) -> None:
+    def abandon(self, run: Run) -> None:
         """Cancel an order, except a non-repeatable one that is running."""
         if run.ended is None:
             return
--- a/src/lovageshunt/sidecar/_metrics.py
+++ b/src/lovageshunt/sidecar/_metrics.py
@@ -101,5 +101,5 @@
             body=body,
         )
 
-    def abandoned(self, token: None) -> None:
+    def abandon(self, token: None) -> None:
         """Do nothing: every request is complete when ``handle`` returns."""
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -136,7 +136,7 @@
         self._start_attempt(call, route, entry)
         return call
 
-    def abandoned(self, call: OriginCall) -> None:
+    def abandon(self, call: OriginCall) -> None:
         """Cancel a request whose client disconnected."""
         if call.is_over:
             return
@@ -234,7 +234,7 @@
         host = attempt.entry.host
         if host == self._own_host:
             run = self._executor.submit(order, ended)
-            attempt.cancel = partial(self._executor.abandoned, run)
+            attempt.cancel = partial(self._executor.abandon, run)
             return
         dialer = self._fleet.dialer(host)
         stream = dialer.send(order, ended)
--- a/src/lovageshunt/sidecar/_sidecar.py
+++ b/src/lovageshunt/sidecar/_sidecar.py
@@ -332,5 +332,5 @@
         status = _READY if self._sidecar.is_ready else _NOT_READY
         connection.respond(status=status, fields=b'', body=b'')
 
-    def abandoned(self, token: None) -> None:
+    def abandon(self, token: None) -> None:
         """Do nothing: every request is complete when ``handle`` returns."""
--- a/standins/store.py
+++ b/standins/store.py
@@ -88,7 +88,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def abandoned(self, token: None) -> None:
+    def abandon(self, token: None) -> None:
         """Let a watch run out for nobody."""
 
     def _range(
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -19,7 +19,7 @@
         self.requests.append(request)
         return len(self.requests)
 
-    def abandoned(self, token: Any) -> None:
+    def abandon(self, token: Any) -> None:
         self.abandoned_tokens.append(token)
 
 
--- a/tests/sidecar/test_executor.py
+++ b/tests/sidecar/test_executor.py
@@ -97,5 +97,5 @@
         """A repeat that was cancelled no longer counts."""
         executor = executor_of(target)
         run = executor.submit(order('a', is_repeat=True), lambda _: None)
-        executor.abandoned(run)
+        executor.abandon(run)
         assert executor.repeat_share == 0
--- a/tests/sidecar/test_origin.py
+++ b/tests/sidecar/test_origin.py
@@ -35,7 +35,7 @@
         self.orders.append(order)
         self.ended.append(ended)
 
-    def abandoned(self, run: object) -> None:
+    def abandon(self, run: object) -> None:
         """Do nothing."""
 
 
