--- a/src/lovageshunt/links/_incoming.py
+++ b/src/lovageshunt/links/_incoming.py
@@ -85,14 +85,14 @@
         self,
         *,
         handler: OrderHandler,
-        book: RecentOrders,
+        recent_orders: RecentOrders,
         greeting: Greeting,
         open_links: set['IncomingLink'],
         on_frame: Callable[['IncomingLink', Frame], None],
     ) -> None:
         """Serve orders with a handler; join the set of open links."""
         self._handler = handler
-        self._book = book
+        self._book = recent_orders
         self._greeting = greeting
         self._open = open_links
         self._heard = on_frame
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -129,7 +129,7 @@
         """Return the protocol for a link that another node opens."""
         return IncomingLink(
             handler=handler,
-            book=self._book,
+            recent_orders=self._book,
             greeting=self._greeting,
             open_links=self._incoming,
             on_frame=self._on_incoming,
