--- a/src/lovageshunt/links/_incoming.py
+++ b/src/lovageshunt/links/_incoming.py
@@ -92,7 +92,7 @@
     ) -> None:
         """Serve orders with a handler; join the set of open links."""
         self._handler = handler
-        self._book = recent_orders
+        self._recent_orders = recent_orders
         self._greeting = greeting
         self._open = open_links
         self._heard = on_frame
@@ -142,7 +142,7 @@
         taken.answer = encode_answer(answer)
         taken.token = None
         taken.link.send_answer(key[1], taken.answer)
-        self._book.answered(key)
+        self._recent_orders.answered(key)
 
     def send_answer(self, stream: int, encoded: bytes) -> None:
         """Write an answer, if the link is open."""
@@ -167,7 +167,7 @@
         if self.peer is None:
             raise MalformedFrameError('an order before the greeting')
         key = (self.peer.incarnation, frame.stream)
-        known = self._book.by_key.get(key)
+        known = self._recent_orders.by_key.get(key)
         if known is not None:
             known.link = self
             if known.answer is not None:
@@ -175,7 +175,7 @@
             return
         order = decode_order(frame.payload, clock_now())
         taken = _Taken(self)
-        self._book.by_key[key] = taken
+        self._recent_orders.by_key[key] = taken
         token = self._handler.submit(order, partial(self.answer, key, taken))
         if taken.answer is None:
             taken.token = token
@@ -183,12 +183,12 @@
     def _cancel(self, stream: int) -> None:
         if self.peer is None:
             return
-        taken = self._book.by_key.get((self.peer.incarnation, stream))
+        taken = self._recent_orders.by_key.get((self.peer.incarnation, stream))
         if taken is not None and taken.token is not None:
             self._handler.abandon(taken.token)
 
     def _abandon_all(self) -> None:
         """Cancel the calls of a sender that did not come back."""
-        for taken in list(self._book.by_key.values()):
+        for taken in list(self._recent_orders.by_key.values()):
             if taken.link is self and taken.token is not None:
                 self._handler.abandon(taken.token)
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -99,7 +99,7 @@
         '_port',
         '_greeting',
         '_numbers',
-        '_book',
+        '_recent_orders',
         '_incoming',
         'frame_handler',
     )
@@ -108,7 +108,7 @@
         self._port = port
         self._greeting = greeting
         self._numbers = count(1)
-        self._book = RecentOrders()
+        self._recent_orders = RecentOrders()
         self._incoming: set[IncomingLink] = set()
         self.frame_handler: FrameHandler | None = None
 
@@ -129,7 +129,7 @@
         """Return the protocol for a link that another node opens."""
         return IncomingLink(
             handler=handler,
-            recent_orders=self._book,
+            recent_orders=self._recent_orders,
             greeting=self._greeting,
             open_links=self._incoming,
             on_frame=self._on_incoming,
