--- a/src/lovageshunt/links/__init__.py
+++ b/src/lovageshunt/links/__init__.py
@@ -1,4 +1,4 @@
-"""Kept connections between nodes, each carrying many calls at a time."""
+"""Persistent connections between nodes; each multiplexes many calls."""
 
 from lovageshunt.links._codec import decode_demand, encode_message
 from lovageshunt.links._dialer import Dialer, LinkListener
--- a/src/lovageshunt/links/_codec.py
+++ b/src/lovageshunt/links/_codec.py
@@ -1,4 +1,4 @@
-"""The JSON form of the messages that are not sent for each call."""
+"""The JSON encoding of the messages that are not sent with every call."""
 
 from typing import Any
 
@@ -10,13 +10,13 @@
 
 
 def encode_message(message: Record) -> bytes:
-    """Write a message as a JSON object of its fields."""
+    """Encode a message as a JSON object of its fields."""
     return orjson.dumps(message.as_dict())
 
 
 def decode_greeting(payload: bytes) -> Greeting:
-    """Read a greeting; raises ``MalformedFrameError`` when it is none."""
-    fields = _object(payload)
+    """Decode a greeting; raise ``MalformedFrameError`` if malformed."""
+    fields = _json_object(payload)
     try:
         return Greeting(**fields)
     except TypeError as error:
@@ -24,19 +24,19 @@
 
 
 def decode_demand(payload: bytes) -> DemandReport:
-    """Read needs; raises ``MalformedFrameError`` when it is none."""
-    fields = _object(payload)
+    """Decode a demand report; raise ``MalformedFrameError`` if malformed."""
+    fields = _json_object(payload)
     try:
         return DemandReport(**fields)
     except TypeError as error:
         raise MalformedFrameError(str(error)) from error
 
 
-def _object(payload: bytes) -> dict[str, Any]:
+def _json_object(payload: bytes) -> dict[str, Any]:
     try:
         fields = orjson.loads(payload)
     except orjson.JSONDecodeError as error:
         raise MalformedFrameError(str(error)) from error
     if not isinstance(fields, dict):
-        raise MalformedFrameError('no JSON object')
+        raise MalformedFrameError('expected a JSON object')
     return fields
--- a/src/lovageshunt/links/_dialer.py
+++ b/src/lovageshunt/links/_dialer.py
@@ -1,4 +1,4 @@
-"""The side of a link that sends orders."""
+"""The side of a link that opens it and sends orders."""
 
 from asyncio import (
     BaseTransport,
@@ -30,41 +30,43 @@
 from lovageshunt.links._messages import Greeting, RunAnswer, RunOrder
 
 _log = getLogger(__name__)
-#: How long a link may take to be made and greeted, in seconds: some hundred
-#: times the way between failure domains.
-_CONNECT_SECONDS: Final = 0.6
-#: Pauses between two attempts to make a link, in seconds.
-_FIRST_PAUSE_SECONDS: Final = 0.05
-_MOST_PAUSE_SECONDS: Final = 1.0
-#: A link from which nothing came for so long is asked whether it lives.
-_QUIET_SECONDS: Final = 0.5
-#: A link from which nothing came for so long is given up, in seconds.
-_SILENT_SECONDS: Final = 1.25
-#: How long a lost link may take to come back before the calls on it that may
-#: be repeated are tried elsewhere, in seconds.
+#: Timeout for connecting and receiving the greeting: about a hundred times
+#: the latency between failure domains.
+_CONNECT_TIMEOUT_SECONDS: Final = 0.6
+#: Pauses between two attempts to connect; doubled after each failure.
+_INITIAL_PAUSE_SECONDS: Final = 0.05
+_MAX_PAUSE_SECONDS: Final = 1.0
+#: A link on which nothing was received for this long is pinged.
+_PING_AFTER_SECONDS: Final = 0.5
+#: A link on which nothing was received for this long is closed.
+_SILENCE_TIMEOUT_SECONDS: Final = 1.25
+#: How long a lost link may take to reconnect before its repeatable calls are
+#: ended, so that they are retried elsewhere.
 _RESUME_SECONDS: Final = 0.3
-#: The same for calls that must not be repeated, in seconds.
+#: The same for calls that must not be repeated.
 _RESUME_ONCE_SECONDS: Final = 2.5
-#: The tick that watches over a link, in seconds.
-_TICK_SECONDS: Final = 0.25
+_CHECK_INTERVAL_SECONDS: Final = 0.25
 
-Ended = Callable[[RunAnswer], None]
+EndedCallback = Callable[[RunAnswer], None]
 
 
-class _Sent(Record):
-    """An order on a link; ``is_written`` once the other side may have it."""
+class _SentOrder(Record):
+    """An order on a link; ``is_written`` once the peer may have received it."""
 
     __slots__ = ('order', 'ended', 'is_written')
 
-    def __init__(self, order: RunOrder, ended: Ended) -> None:
-        """Begin unwritten."""
+    def __init__(self, order: RunOrder, ended: EndedCallback) -> None:
         self.order = order
         self.ended = ended
         self.is_written = False
 
 
 class LinkListener(Record):
-    """What a dialer tells its owner: frames of other kinds, and greetings."""
+    """The callbacks of a dialer; their first argument is the peer's address.
+
+    ``on_frame`` is called with each frame that is neither a greeting nor a
+    pong nor an answer, ``on_greeting`` whenever the link is established.
+    """
 
     __slots__ = ('on_frame', 'on_greeting')
 
@@ -74,19 +76,19 @@
         on_frame: Callable[[str, Frame], None],
         on_greeting: Callable[[str, Greeting], None],
     ) -> None:
-        """Take both; the first argument of each is the address."""
         self.on_frame = on_frame
         self.on_greeting = on_greeting
 
 
 class Dialer:
-    """Keeps one link to a node and carries orders over it.
-
-    A link that was lost is made anew. If the node lives on under the same
-    incarnation, the orders in flight are sent again under their numbers, and
-    the node goes on with what it has; so no call is lost or run twice with
-    its connection. ``numbers`` are shared by all dialers of a process, since
-    a node knows an order by its number and the sender's incarnation.
+    """Keeps one link to a node and sends orders over it.
+
+    A lost link is reconnected. If the node still has the same incarnation,
+    the orders in flight are sent again with the same stream numbers, and the
+    node continues those that it already has; thus a lost connection neither
+    loses a call nor runs it twice. ``numbers`` is shared by all dialers of a
+    process, because a node identifies an order by its stream number and the
+    sender's incarnation. ``greeting`` describes this node.
     """
 
     __slots__ = (
@@ -94,7 +96,7 @@
         '_port',
         '_greeting',
         '_listener',
-        '_by_stream',
+        '_sent_by_stream',
         '_numbers',
         '_connection',
         '_incarnation',
@@ -113,120 +115,122 @@
         listener: LinkListener,
         numbers: Iterator[int],
     ) -> None:
-        """Begin without a link; ``greeting`` says who this node is."""
         self._host = host
         self._port = port
         self._greeting = greeting
         self._listener = listener
-        self._by_stream: dict[int, _Sent] = {}
+        self._sent_by_stream: dict[int, _SentOrder] = {}
         self._numbers = numbers
         self._connection: _DialedConnection | None = None
         self._incarnation = ''
         self._task: Task[None] | None = None
-        self._pause = _FIRST_PAUSE_SECONDS
+        self._pause = _INITIAL_PAUSE_SECONDS
         self._is_closed = False
         self._lost_at: float | None = None
 
     @property
     def is_up(self) -> bool:
-        """Tell whether the link is made and greeted."""
+        """Whether the link is established, greeting included."""
         return self._connection is not None
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no call is on the link."""
-        return not self._by_stream
+        """Whether no call is in flight."""
+        return not self._sent_by_stream
 
     @property
     def is_down(self) -> bool:
-        """Tell whether the link was lost or could not be made."""
+        """Whether the link was lost or could not be established."""
         return self._connection is None and self._lost_at is not None
 
     def open(self) -> None:
-        """Make the link, and make it anew whenever it is lost."""
+        """Start to connect; a link that is lost later is reconnected."""
         if self._task is None and not self._is_closed:
             self._task = get_running_loop().create_task(self._connect())
 
     def close(self) -> None:
-        """End the link for good; calls on it end as unknown."""
+        """Close the link for good; written calls end as unknown."""
         self._is_closed = True
         if self._task is not None:
             self._task.cancel()
         if self._connection is not None:
-            self._connection.drop()
-        for stream in list(self._by_stream):
+            self._connection.abort()
+        for stream in list(self._sent_by_stream):
             self._give_up(stream)
 
-    def send(self, order: RunOrder, ended: Ended) -> int:
-        """Send an order; return the number by which it can be cancelled."""
+    def send(self, order: RunOrder, ended: EndedCallback) -> int:
+        """Send an order; return the stream number for ``cancel``.
+
+        While the link is down, the order waits until it is established.
+        """
         stream = next(self._numbers)
-        sent = _Sent(order, ended)
-        self._by_stream[stream] = sent
+        sent = _SentOrder(order, ended)
+        self._sent_by_stream[stream] = sent
         if self._connection is None:
             self.open()
-            delay = _CONNECT_SECONDS
+            delay = _CONNECT_TIMEOUT_SECONDS
             get_running_loop().call_later(delay, self._expire_unsent, stream)
         else:
             self._write(stream, sent)
         return stream
 
     def cancel(self, stream: int) -> None:
-        """Give up an order, wherever it is; ``ended`` is not called."""
-        sent = self._by_stream.pop(stream, None)
+        """Cancel an order, sent or not; its ``ended`` is not called."""
+        sent = self._sent_by_stream.pop(stream, None)
         if sent is None or not sent.is_written:
             return
         if self._connection is not None:
             self._connection.write(encode_frame(FrameKind.CANCEL, stream))
 
     def send_frame(self, kind: FrameKind, payload: bytes = b'') -> None:
-        """Send a frame that belongs to no call, if the link is up."""
+        """Send a frame that belongs to no call; drop it if the link is down."""
         if self._connection is not None:
             self._connection.write(encode_frame(kind, 0, payload))
 
-    # What the connection calls.
+    # Called by the connection.
 
     def on_greeting(
         self, connection: '_DialedConnection', hello: Greeting
     ) -> None:
-        """Begin to use a link; go on with what was on the last one."""
+        """Use a new connection; resend the orders of the previous one."""
         is_same = hello.incarnation == self._incarnation
         self._incarnation = hello.incarnation
         self._connection = connection
         self._lost_at = None
-        self._pause = _FIRST_PAUSE_SECONDS
-        for stream, sent in list(self._by_stream.items()):
+        self._pause = _INITIAL_PAUSE_SECONDS
+        for stream, sent in list(self._sent_by_stream.items()):
             if sent.is_written and not is_same:
                 self._give_up(stream)
             else:
                 self._write(stream, sent)
         self._listener.on_greeting(self._host, hello)
 
-    def received(self, frame: Frame) -> None:
-        """Take a frame from the other side."""
+    def on_received(self, frame: Frame) -> None:
+        """Handle a frame other than a greeting or a pong."""
         if frame.kind == FrameKind.ANSWER:
-            sent = self._by_stream.pop(frame.stream, None)
+            sent = self._sent_by_stream.pop(frame.stream, None)
             if sent is not None:
                 sent.ended(decode_answer(frame.payload))
             return
         self._listener.on_frame(self._host, frame)
 
-    def lost(self, connection: '_DialedConnection', reason: str) -> None:
-        """Make the link anew."""
+    def on_lost(self, connection: '_DialedConnection', reason: str) -> None:
+        """Reconnect; end the calls in flight if that takes too long."""
         if self._connection is not connection or self._is_closed:
             return
         self._connection = None
         self._lost_at = clock_now()
         _log.info(
-            'link lost',
+            'link lost, reconnecting',
             extra={
                 'peer': self._host,
                 'reason': reason,
-                'in_flight': len(self._by_stream),
+                'in_flight': len(self._sent_by_stream),
             },
         )
         loop = get_running_loop()
-        loop.call_later(_RESUME_SECONDS, self._expire_resumed, True)
-        loop.call_later(_RESUME_ONCE_SECONDS, self._expire_resumed, False)
+        loop.call_later(_RESUME_SECONDS, self._expire_unresumed, True)
+        loop.call_later(_RESUME_ONCE_SECONDS, self._expire_unresumed, False)
         self.open()
 
     async def _connect(self) -> None:
@@ -234,9 +238,9 @@
         while not self._is_closed and self._connection is None:
             connection = _DialedConnection(self)
             try:
-                async with timeout(_CONNECT_SECONDS):
+                async with timeout(_CONNECT_TIMEOUT_SECONDS):
                     await loop.create_connection(
-                        lambda made=connection: made,  # type: ignore[misc]
+                        lambda new=connection: new,  # type: ignore[misc]
                         self._host,
                         self._port,
                     )
@@ -244,27 +248,27 @@
                     connection.write(encode_frame(FrameKind.GREETING, 0, hello))
                     await connection.greeting
             except OSError as error:
-                connection.drop()
-                self._note_failure(error)
+                connection.abort()
+                self._on_connect_failed(error)
                 await sleep(self._pause)
-                self._pause = min(self._pause * 2, _MOST_PAUSE_SECONDS)
+                self._pause = min(self._pause * 2, _MAX_PAUSE_SECONDS)
         self._task = None
 
-    def _note_failure(self, error: OSError) -> None:
+    def _on_connect_failed(self, error: OSError) -> None:
         if self._lost_at is None:
             _log.info(
-                'no link',
+                'link could not be established, retrying',
                 extra={
                     'peer': self._host,
                     'reason': str(error) or type(error).__name__,
                 },
             )
             self._lost_at = clock_now()
-        for stream, sent in list(self._by_stream.items()):
+        for stream, sent in list(self._sent_by_stream.items()):
             if not sent.is_written:
                 self._give_up(stream)
 
-    def _write(self, stream: int, sent: _Sent) -> None:
+    def _write(self, stream: int, sent: _SentOrder) -> None:
         if self._connection is None:
             return
         sent.is_written = True
@@ -272,20 +276,20 @@
         self._connection.write(encode_frame(FrameKind.ORDER, stream, payload))
 
     def _expire_unsent(self, stream: int) -> None:
-        sent = self._by_stream.get(stream)
+        sent = self._sent_by_stream.get(stream)
         if sent is not None and not sent.is_written:
             self._give_up(stream)
 
-    def _expire_resumed(self, is_repeatable: bool) -> None:
+    def _expire_unresumed(self, is_repeatable: bool) -> None:
         if self._connection is not None:
             return
-        for stream, sent in list(self._by_stream.items()):
+        for stream, sent in list(self._sent_by_stream.items()):
             if sent.order.is_repeatable == is_repeatable:
                 self._give_up(stream)
 
     def _give_up(self, stream: int) -> None:
-        """End a call: not run if nothing of it was written, else unknown."""
-        sent = self._by_stream.pop(stream)
+        """End a call, as not run if it was not written, else as unknown."""
+        sent = self._sent_by_stream.pop(stream)
         if sent.is_written:
             outcome = Outcome.UNKNOWN
             reason = RefusalReason.CONNECTION_LOST
@@ -296,77 +300,83 @@
 
 
 class _DialedConnection(Protocol):
-    """The connection under a dialer's link."""
+    """One connection of a dialer's link.
+
+    ``greeting`` is done once the peer's greeting was received, and fails
+    with ``ConnectionError`` if the connection is lost before.
+    """
 
     def __init__(self, dialer: Dialer) -> None:
-        """Report to a dialer."""
         self._dialer = dialer
         self._transport: Transport | None = None
         self._reader = FrameReader()
-        self._heard_at = clock_now()
-        self._tick: TimerHandle | None = None
+        self._received_at = clock_now()
+        self._check_timer: TimerHandle | None = None
         self.greeting = get_running_loop().create_future()
 
     def connection_made(self, transport: BaseTransport) -> None:
-        """Begin to watch for silence."""
+        """Start to check for silence."""
         self._transport = cast(Transport, transport)
-        self._heard_at = clock_now()
-        self._watch()
+        self._received_at = clock_now()
+        self._check_silence()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell the dialer."""
+        """Report the loss to the dialer."""
         self._end(str(exc) if exc else 'closed by the other side')
 
     def data_received(self, data: bytes) -> None:
-        """Take frames."""
-        self._heard_at = clock_now()
+        """Handle the received frames; end the link if one is malformed."""
+        self._received_at = clock_now()
         try:
             for frame in self._reader.feed(data):
-                self._take(frame)
+                self._on_frame(frame)
         except MalformedFrameError as error:
             self._end(str(error))
 
     def write(self, encoded: bytes) -> None:
-        """Write whole frames."""
+        """Write complete frames; drop them if the connection is closed."""
         if self._transport is not None:
             self._transport.write(encoded)
 
-    def drop(self) -> None:
-        """Close the connection without a word to the dialer."""
+    def abort(self) -> None:
+        """Close the connection without reporting it to the dialer."""
         transport = self._transport
         self._transport = None
-        if self._tick is not None:
-            self._tick.cancel()
+        if self._check_timer is not None:
+            self._check_timer.cancel()
         if transport is not None:
             transport.abort()
         if not self.greeting.done():
             self.greeting.cancel()
 
-    def _take(self, frame: Frame) -> None:
+    def _on_frame(self, frame: Frame) -> None:
         if frame.kind == FrameKind.GREETING:
             self._dialer.on_greeting(self, decode_greeting(frame.payload))
             if not self.greeting.done():
                 self.greeting.set_result(None)
         elif frame.kind != FrameKind.PONG:
-            self._dialer.received(frame)
+            self._dialer.on_received(frame)
 
-    def _watch(self) -> None:
-        """Ask a quiet link for a sign of life, and give up a silent one."""
-        quiet = clock_now() - self._heard_at
-        if quiet > _SILENT_SECONDS:
+    def _check_silence(self) -> None:
+        """Ping a quiet peer; end the connection when the timeout is over."""
+        quiet = clock_now() - self._received_at
+        if quiet > _SILENCE_TIMEOUT_SECONDS:
             self._end(f'silent for {quiet:.2f} s')
             return
-        if quiet > _QUIET_SECONDS:
+        if quiet > _PING_AFTER_SECONDS:
             self.write(encode_frame(FrameKind.PING, 0))
         loop = get_running_loop()
-        self._tick = loop.call_later(_TICK_SECONDS, self._watch)
+        self._check_timer = loop.call_later(
+            _CHECK_INTERVAL_SECONDS, self._check_silence
+        )
 
     def _end(self, reason: str) -> None:
         if self._transport is None:
             return
         if not self.greeting.done():
             self.greeting.set_exception(ConnectionError(reason))
-            # Nobody waits for it once the dialer has given up.
+            # After its timeout the dialer no longer awaits the future; reading
+            # the exception here keeps asyncio from logging it.
             self.greeting.exception()
-        self.drop()
-        self._dialer.lost(self, reason)
+        self.abort()
+        self._dialer.on_lost(self, reason)
--- a/src/lovageshunt/links/_frames.py
+++ b/src/lovageshunt/links/_frames.py
@@ -1,7 +1,8 @@
-"""The wire form of what nodes tell one another.
+"""The binary encoding of frames and of the messages sent most often.
 
-A frame is its length (4 bytes, without itself), its kind (1 byte), a stream
-number (4 bytes) and a payload. Numbers are in network order.
+A frame consists of its length (4 bytes, not counting these), its kind (1
+byte), a stream number (4 bytes) and a payload. Numbers are in network byte
+order.
 """
 
 from enum import IntEnum
@@ -15,26 +16,27 @@
 from lovageshunt.links._messages import RunAnswer, RunOrder, TargetLoadReport
 
 _PREFIX: Final = Struct('!IBI')
-_LENGTH_SIZE: Final = 4
-#: The largest frame, in bytes: a whole body and its head.
-_MOST_FRAME_BYTES: Final = 80 * 1024 * 1024
-#: Order: importance, whether repeatable, whether a repeat, ms left, and seven
-#: lengths.
+_LENGTH_BYTES: Final = 4
+#: Enough for the largest body together with its header fields.
+_MAX_FRAME_BYTES: Final = 80 * 1024 * 1024
+#: Order: importance, is_repeatable, is_repeat, remaining time in ms, and the
+#: lengths of seven fields; the fields and the body follow.
 _ORDER: Final = Struct('!B??I5H2I')
-#: Answer: outcome, reason, ms to come back, status, length of the fields,
-#: whether a load follows, running, waiting, limit, ms of service.
+#: Answer: outcome, reason, retry-after in ms, status, length of the header
+#: fields, whether the load is valid, running, waiting, limit, service time in
+#: ms; the header fields and the body follow.
 _ANSWER: Final = Struct('!BBIHI?IIIf')
-#: Load: running, waiting, limit, ms of service, share, calls sent and refused
-#: a second; the id follows.
+#: Load: running, waiting, limit, service time in ms, share, calls sent and
+#: refused a second; the target id follows.
 _LOAD: Final = Struct('!IIIffff')
 _OUTCOMES: Final = tuple(Outcome)
 _REASONS: Final = (None, *RefusalReason)
 _MS_PER_SECOND: Final = 1000
-_MOST_UINT: Final = 2**32 - 1
+_MAX_UINT32: Final = 2**32 - 1
 
 
 class FrameKind(IntEnum):
-    """The kinds of frames; a reader passes over kinds that it ignores."""
+    """The kinds of frames; receivers ignore kinds that they do not know."""
 
     GREETING = 1
     ORDER = 2
@@ -50,65 +52,65 @@
 
 
 class Frame(Record):
-    """One frame; ``stream`` numbers the call that it belongs to, or is 0."""
+    """One frame; ``stream`` is the number of its call, or 0 without one."""
 
     __slots__ = ('kind', 'stream', 'payload')
 
     def __init__(self, *, kind: int, stream: int, payload: bytes) -> None:
-        """Take every field by name."""
         self.kind = kind
         self.stream = stream
         self.payload = payload
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames."""
+    """Splits a stream of bytes into frames."""
 
     __slots__ = ('_buffer',)
 
     def __init__(self) -> None:
-        """Begin with nothing read."""
         self._buffer = b''
 
     def feed(self, received: bytes) -> list[Frame]:
-        """Return the frames that are now whole.
+        """Return the frames that ``received`` completes.
 
-        Raises ``MalformedFrameError`` for a length out of bounds.
+        Raises ``MalformedFrameError`` if a frame's length is out of bounds.
         """
         buffer = self._buffer + received if self._buffer else received
         frames: list[Frame] = []
-        at = 0
-        while len(buffer) - at >= _PREFIX.size:
-            length, kind, stream = _PREFIX.unpack_from(buffer, at)
-            if not _PREFIX.size - _LENGTH_SIZE <= length <= _MOST_FRAME_BYTES:
-                raise MalformedFrameError(f'a frame of {length} bytes')
-            end = at + _LENGTH_SIZE + length
+        offset = 0
+        while len(buffer) - offset >= _PREFIX.size:
+            length, kind, stream = _PREFIX.unpack_from(buffer, offset)
+            if not _PREFIX.size - _LENGTH_BYTES <= length <= _MAX_FRAME_BYTES:
+                raise MalformedFrameError(
+                    f'frame length of {length} bytes is out of bounds',
+                )
+            end = offset + _LENGTH_BYTES + length
             if len(buffer) < end:
                 break
-            payload = buffer[at + _PREFIX.size : end]
+            payload = buffer[offset + _PREFIX.size : end]
             frames.append(Frame(kind=kind, stream=stream, payload=payload))
-            at = end
-        self._buffer = buffer[at:]
+            offset = end
+        self._buffer = buffer[offset:]
         return frames
 
 
 def encode_frame(kind: FrameKind, stream: int, payload: bytes = b'') -> bytes:
-    """Write one frame."""
-    length = len(payload) + _PREFIX.size - _LENGTH_SIZE
+    """Encode one frame; ``stream`` is 0 if it belongs to no call."""
+    length = len(payload) + _PREFIX.size - _LENGTH_BYTES
     return _PREFIX.pack(length, kind, stream) + payload
 
 
 def encode_order(order: RunOrder, now: float) -> bytes:
-    """Write an order; the time left is counted from ``now``."""
+    """Encode an order; ``now`` is in seconds on the clock of its deadline."""
     target_id = order.target_id.encode()
     kind = order.kind.encode()
     caller = order.caller_service.encode()
-    left = max(0, round((order.deadline - now) * _MS_PER_SECOND))
+    left_ms = max(0, round((order.deadline - now) * _MS_PER_SECOND))
     head = _ORDER.pack(
         order.importance,
         order.is_repeatable,
         order.is_repeat,
-        min(left, _MOST_UINT),
+        min(left_ms, _MAX_UINT32),
         len(order.attempt_id),
         len(target_id),
         len(kind),
@@ -133,19 +135,22 @@
 
 
 def decode_order(payload: bytes, now: float) -> RunOrder:
-    """Read an order; raises ``MalformedFrameError`` when it is none."""
+    """Decode an order; its deadline is counted from ``now``, in seconds.
+
+    Raises ``MalformedFrameError`` if the payload is malformed.
+    """
     try:
         numbers = _ORDER.unpack_from(payload)
     except StructError as error:
         raise MalformedFrameError(str(error)) from error
     importance, is_repeatable, is_repeat = numbers[:3]
     left_ms, *lengths = numbers[3:]
-    parts = _cut(payload, _ORDER.size, lengths)
+    parts = _split(payload, _ORDER.size, lengths)
     return RunOrder(
         attempt_id=parts[0],
-        target_id=_text(parts[1]),
-        kind=_text(parts[2]),
-        caller_service=_text(parts[3]),
+        target_id=_decode_text(parts[1]),
+        kind=_decode_text(parts[2]),
+        caller_service=_decode_text(parts[3]),
         importance=importance,
         is_repeatable=is_repeatable,
         is_repeat=is_repeat,
@@ -158,12 +163,11 @@
 
 
 def encode_answer(answer: RunAnswer) -> bytes:
-    """Write an answer."""
     load = answer.load or _NO_LOAD
     head = _ANSWER.pack(
         _OUTCOMES.index(answer.outcome),
         _REASONS.index(answer.reason),
-        min(max(0, answer.retry_after_ms), _MOST_UINT),
+        min(max(0, answer.retry_after_ms), _MAX_UINT32),
         answer.status,
         len(answer.fields),
         answer.load is not None,
@@ -176,7 +180,7 @@
 
 
 def decode_answer(payload: bytes) -> RunAnswer:
-    """Read an answer; raises ``MalformedFrameError`` when it is none."""
+    """Decode an answer; raise ``MalformedFrameError`` if malformed."""
     try:
         numbers = _ANSWER.unpack_from(payload)
     except StructError as error:
@@ -184,43 +188,45 @@
     outcome, reason, retry_after_ms, status = numbers[:4]
     length, has_load, *load = numbers[4:]
     if outcome >= len(_OUTCOMES) or reason >= len(_REASONS):
-        raise MalformedFrameError(f'outcome {outcome}, reason {reason}')
-    parts = _cut(payload, _ANSWER.size, [length])
+        raise MalformedFrameError(
+            f'unknown outcome {outcome} or reason {reason}',
+        )
+    parts = _split(payload, _ANSWER.size, [length])
     return RunAnswer(
         outcome=_OUTCOMES[outcome],
         reason=_REASONS[reason],
         retry_after_ms=retry_after_ms,
-        load=_load_of(load) if has_load else None,
+        load=_load_report(load) if has_load else None,
         status=status,
         fields=parts[0],
         body=parts[1],
     )
 
 
-def encode_load(news: TargetLoadReport) -> bytes:
-    """Write a target's load."""
+def encode_load(report: TargetLoadReport) -> bytes:
+    """Encode a load report."""
     head = _LOAD.pack(
-        news.load.running,
-        news.load.waiting,
-        news.load.limit,
-        news.load.service_ms,
-        news.share,
-        news.sent_per_second,
-        news.refused_per_second,
+        report.load.running,
+        report.load.waiting,
+        report.load.limit,
+        report.load.service_ms,
+        report.share,
+        report.sent_per_second,
+        report.refused_per_second,
     )
-    return head + news.target_id.encode()
+    return head + report.target_id.encode()
 
 
 def decode_load(payload: bytes) -> TargetLoadReport:
-    """Read a target's load; raises ``MalformedFrameError`` if it is none."""
+    """Decode a load report; raise ``MalformedFrameError`` if malformed."""
     try:
         numbers = _LOAD.unpack_from(payload)
     except StructError as error:
         raise MalformedFrameError(str(error)) from error
     share, sent, refused = numbers[4:]
     return TargetLoadReport(
-        target_id=_text(payload[_LOAD.size :]),
-        load=_load_of(list(numbers[:4])),
+        target_id=_decode_text(payload[_LOAD.size :]),
+        load=_load_report(list(numbers[:4])),
         share=share,
         sent_per_second=sent,
         refused_per_second=refused,
@@ -230,7 +236,7 @@
 _NO_LOAD: Final = LoadReport(running=0, waiting=0, limit=0, service_ms=0)
 
 
-def _load_of(numbers: list[float]) -> LoadReport:
+def _load_report(numbers: list[float]) -> LoadReport:
     running, waiting, limit, service_ms = numbers
     return LoadReport(
         running=int(running),
@@ -240,23 +246,23 @@
     )
 
 
-def _text(part: bytes) -> str:
+def _decode_text(part: bytes) -> str:
     try:
         return part.decode()
     except UnicodeDecodeError as error:
         raise MalformedFrameError(str(error)) from error
 
 
-def _cut(
+def _split(
     payload: bytes,
-    at: int,
+    offset: int,
     lengths: list[int],
 ) -> list[bytes]:
-    """Return the parts of the given lengths, then what follows them."""
+    """Return the parts of the given lengths, then the rest of the payload."""
     parts: list[bytes] = []
     for length in lengths:
-        parts.append(payload[at : at + length])
-        at += length
-    if at > len(payload):
-        raise MalformedFrameError('a part is longer than its frame')
-    return [*parts, payload[at:]]
+        parts.append(payload[offset : offset + length])
+        offset += length
+    if offset > len(payload):
+        raise MalformedFrameError('a field extends beyond the end of its frame')
+    return [*parts, payload[offset:]]
--- a/src/lovageshunt/links/_incoming.py
+++ b/src/lovageshunt/links/_incoming.py
@@ -1,4 +1,4 @@
-"""The side of a link that takes orders."""
+"""The side of a link that accepts orders."""
 
 from asyncio import BaseTransport, Protocol, Transport, get_running_loop
 from collections import deque
@@ -22,16 +22,14 @@
 from lovageshunt.links._messages import Greeting, RunAnswer, RunOrder
 
 _log = getLogger(__name__)
-#: How long an answer is kept for a sender whose link broke, in seconds:
-#: longer than a silent link is noticed and made anew.
-_KEPT_SECONDS: Final = 4.0
-#: How long the calls of a lost link run on before they are cancelled, in
-#: seconds.
-_ORPHAN_SECONDS: Final = 1.0
+#: How long an answer is kept for a sender whose link was lost: longer than
+#: the sender takes to detect a silent link and to reconnect.
+_RETENTION_SECONDS: Final = 4.0
+#: How long a sender may take to reconnect before its calls are cancelled.
+_RESUME_TIMEOUT_SECONDS: Final = 1.0
 
-
-#: An order's name: the incarnation of its sender, and its number there.
-Key = tuple[str, int]
+#: The incarnation of an order's sender, and its stream number there.
+OrderKey = tuple[str, int]
 
 
 class OrderHandler(Interface):
@@ -42,44 +40,54 @@
         order: RunOrder,
         ended: Callable[[RunAnswer], None],
     ) -> Any:
-        """Run an order; return a token for ``abandon``."""
+        """Start an order; return a token for ``abandon``.
+
+        ``ended`` is called once, unless the order is abandoned before.
+        """
 
     def abandon(self, token: Any) -> None:
-        """Give up an order whose sender no longer wants it."""
+        """Cancel an order whose sender has cancelled it or is gone."""
+
 
+class _AcceptedOrder:
+    """An order that was accepted from a sender.
 
-class _Taken:
-    """An order that was taken: its token, then its answer."""
+    ``token`` is the handler's while the order runs, ``answer`` the encoded
+    answer afterwards. ``link`` is the one that the sender used last.
+    """
 
     __slots__ = ('token', 'answer', 'link')
 
     def __init__(self, link: 'IncomingLink') -> None:
-        """Begin on a link."""
         self.token: Any = None
         self.answer: bytes | None = None
         self.link = link
 
 
 class RecentOrders:
-    """Every order lately taken, by its sender's incarnation and number."""
+    """The orders that run or were answered recently, to detect repeats."""
 
     __slots__ = ('by_key', '_answered')
 
     def __init__(self) -> None:
-        """Begin with none."""
-        self.by_key: dict[Key, _Taken] = {}
-        self._answered: deque[tuple[float, Key]] = deque()
+        self.by_key: dict[OrderKey, _AcceptedOrder] = {}
+        self._answered: deque[tuple[float, OrderKey]] = deque()
 
-    def answered(self, key: Key) -> None:
-        """Forget an answer after a while."""
+    def note_answered(self, key: OrderKey) -> None:
+        """Note an answer; remove those older than the retention time."""
         now = clock_now()
         self._answered.append((now, key))
-        while self._answered[0][0] < now - _KEPT_SECONDS:
+        while self._answered[0][0] < now - _RETENTION_SECONDS:
             self.by_key.pop(self._answered.popleft()[1], None)
 
 
 class IncomingLink(Protocol):
-    """One link from another node."""
+    """One link that another node opened; ``peer`` is its greeting.
+
+    ``open_links`` is the set that the link is in while it is open.
+    ``on_frame`` is called with greetings and with all frames of kinds that
+    the link does not handle itself.
+    """
 
     def __init__(
         self,
@@ -90,105 +98,110 @@
         open_links: set['IncomingLink'],
         on_frame: Callable[['IncomingLink', Frame], None],
     ) -> None:
-        """Serve orders with a handler; join the set of open links."""
         self._handler = handler
         self._recent_orders = recent_orders
         self._greeting = greeting
-        self._open = open_links
-        self._heard = on_frame
+        self._open_links = open_links
+        self._on_frame = on_frame
         self._transport: Transport | None = None
         self._reader = FrameReader()
         self.peer: Greeting | None = None
 
     @property
     def is_open(self) -> bool:
-        """Tell whether frames can be written."""
+        """Whether frames can be written."""
         return self._transport is not None
 
     def connection_made(self, transport: BaseTransport) -> None:
-        """Say who this node is."""
+        """Send this node's greeting."""
         self._transport = cast(Transport, transport)
-        self._open.add(self)
+        self._open_links.add(self)
         hello = encode_message(self._greeting)
         self._transport.write(encode_frame(FrameKind.GREETING, 0, hello))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Leave the sender a moment to come back for its calls."""
+        """Cancel the sender's calls if it does not reconnect in time."""
         self._transport = None
-        self._open.discard(self)
-        get_running_loop().call_later(_ORPHAN_SECONDS, self._abandon_all)
+        self._open_links.discard(self)
+        get_running_loop().call_later(
+            _RESUME_TIMEOUT_SECONDS, self._abandon_all
+        )
 
     def data_received(self, data: bytes) -> None:
-        """Take frames."""
+        """Handle the received frames; close the link if one is malformed."""
         try:
             for frame in self._reader.feed(data):
-                self._take(frame)
+                self._dispatch(frame)
         except MalformedFrameError as error:
-            _log.warning('a link is closed: %s', error)
+            _log.warning('closing a link: %s', error)
             self.close()
 
     def send_frame(self, kind: FrameKind, payload: bytes = b'') -> None:
-        """Send a frame that belongs to no call, if the link is open."""
+        """Send a frame that belongs to no call; drop it on a closed link."""
         if self._transport is not None:
             self._transport.write(encode_frame(kind, 0, payload))
 
     def close(self) -> None:
-        """Close the link."""
+        """Close the link once all frames are written."""
         if self._transport is not None:
             self._transport.close()
 
-    def answer(self, key: Key, taken: _Taken, answer: RunAnswer) -> None:
-        """Send what became of an order, on the link its sender uses now."""
-        taken.answer = encode_answer(answer)
-        taken.token = None
-        taken.link.send_answer(key[1], taken.answer)
-        self._recent_orders.answered(key)
+    def answer(
+        self, key: OrderKey, accepted: _AcceptedOrder, answer: RunAnswer
+    ) -> None:
+        """Send an answer on the link that the sender uses now; keep it."""
+        accepted.answer = encode_answer(answer)
+        accepted.token = None
+        accepted.link.send_answer(key[1], accepted.answer)
+        self._recent_orders.note_answered(key)
 
     def send_answer(self, stream: int, encoded: bytes) -> None:
-        """Write an answer, if the link is open."""
+        """Write an encoded answer; drop it if the link is closed."""
         if self._transport is not None:
             frame = encode_frame(FrameKind.ANSWER, stream, encoded)
             self._transport.write(frame)
 
-    def _take(self, frame: Frame) -> None:
+    def _dispatch(self, frame: Frame) -> None:
         if frame.kind == FrameKind.ORDER:
-            self._take_order(frame)
+            self._accept_order(frame)
         elif frame.kind == FrameKind.CANCEL:
             self._cancel(frame.stream)
         elif frame.kind == FrameKind.PING:
             self.send_frame(FrameKind.PONG)
         elif frame.kind == FrameKind.GREETING:
             self.peer = decode_greeting(frame.payload)
-            self._heard(self, frame)
+            self._on_frame(self, frame)
         else:
-            self._heard(self, frame)
+            self._on_frame(self, frame)
 
-    def _take_order(self, frame: Frame) -> None:
+    def _accept_order(self, frame: Frame) -> None:
         if self.peer is None:
-            raise MalformedFrameError('an order before the greeting')
+            raise MalformedFrameError('received an order before the greeting')
         key = (self.peer.incarnation, frame.stream)
-        known = self._recent_orders.by_key.get(key)
-        if known is not None:
-            known.link = self
-            if known.answer is not None:
-                self.send_answer(frame.stream, known.answer)
+        earlier = self._recent_orders.by_key.get(key)
+        if earlier is not None:
+            earlier.link = self
+            if earlier.answer is not None:
+                self.send_answer(frame.stream, earlier.answer)
             return
         order = decode_order(frame.payload, clock_now())
-        taken = _Taken(self)
-        self._recent_orders.by_key[key] = taken
-        token = self._handler.submit(order, partial(self.answer, key, taken))
-        if taken.answer is None:
-            taken.token = token
+        accepted = _AcceptedOrder(self)
+        self._recent_orders.by_key[key] = accepted
+        token = self._handler.submit(order, partial(self.answer, key, accepted))
+        if accepted.answer is None:
+            accepted.token = token
 
     def _cancel(self, stream: int) -> None:
         if self.peer is None:
             return
-        taken = self._recent_orders.by_key.get((self.peer.incarnation, stream))
-        if taken is not None and taken.token is not None:
-            self._handler.abandon(taken.token)
+        accepted = self._recent_orders.by_key.get(
+            (self.peer.incarnation, stream)
+        )
+        if accepted is not None and accepted.token is not None:
+            self._handler.abandon(accepted.token)
 
     def _abandon_all(self) -> None:
-        """Cancel the calls of a sender that did not come back."""
-        for taken in list(self._recent_orders.by_key.values()):
-            if taken.link is self and taken.token is not None:
-                self._handler.abandon(taken.token)
+        """Cancel the calls of a sender that did not reconnect."""
+        for accepted in list(self._recent_orders.by_key.values()):
+            if accepted.link is self and accepted.token is not None:
+                self._handler.abandon(accepted.token)
--- a/src/lovageshunt/links/_messages.py
+++ b/src/lovageshunt/links/_messages.py
@@ -1,19 +1,20 @@
-"""What nodes tell one another."""
+"""The messages that nodes exchange on links."""
 
 from lovageshunt._record import Record
 from lovageshunt.calls import LoadReport, Outcome, RefusalReason
 
 
 class RunOrder(Record):
-    """A call to be run at the target beside the other node.
-
-    ``attempt_id`` is the id that the client gave it, ``target_id`` the only
-    target that may run it. ``kind`` names the route. ``importance`` is 0 for
-    calls that targets make, which go first, and one more than the route's
-    for requests of clients. ``deadline`` is in seconds on the clock of the
-    node that holds the order; on the wire stands the time that is left.
-    ``is_repeat`` tells that the request may have run before, or that the run
-    which makes this call is such a one. ``fields`` are whole header lines.
+    """A call that the receiving node runs at its local target.
+
+    ``attempt_id`` is the id that the client assigned, ``target_id`` the only
+    target that may run the call. ``kind`` names the route. ``importance`` is
+    0 for calls that targets make, which are served first, and the route's
+    importance plus one for requests of clients. ``deadline`` is in seconds
+    on the clock of the node that holds the order; on the wire it is replaced
+    by the remaining time. ``is_repeat`` is true if the request may have run
+    before, or if the run that makes this call may be such a repeat.
+    ``fields`` are complete header lines.
     """
 
     __slots__ = (
@@ -47,7 +48,6 @@
         fields: bytes,
         body: bytes,
     ) -> None:
-        """Take every field by name."""
         self.attempt_id = attempt_id
         self.target_id = target_id
         self.kind = kind
@@ -63,11 +63,11 @@
 
 
 class RunAnswer(Record):
-    """What became of an order.
+    """The outcome of an order.
 
-    ``status``, ``fields`` and ``body`` are the target's own when the outcome
-    is ``ANSWERED``, and empty otherwise. ``retry_after_ms`` says when the
-    target is expected to have room.
+    ``status``, ``fields`` and ``body`` come from the target's response if the
+    outcome is ``ANSWERED``, and are empty otherwise. ``retry_after_ms`` is
+    the time until the target is expected to have spare capacity.
     """
 
     __slots__ = (
@@ -91,7 +91,6 @@
         fields: bytes = b'',
         body: bytes = b'',
     ) -> None:
-        """Take every field by name."""
         self.outcome = outcome
         self.reason = reason
         self.retry_after_ms = retry_after_ms
@@ -104,9 +103,9 @@
 class Greeting(Record):
     """The first message on a link, from each side.
 
-    ``incarnation`` differs between two lives of a node's process,
-    ``revision`` and ``version`` tell how new its picture of the fleet and its
-    configuration are; both are 0 without one.
+    ``incarnation`` is different after each restart of a node's process.
+    ``revision`` is that of its snapshot of the fleet and ``version`` that of
+    its configuration; each is 0 while the node has none.
     """
 
     __slots__ = ('node', 'service', 'incarnation', 'revision', 'version')
@@ -120,7 +119,6 @@
         revision: int = 0,
         version: int = 0,
     ) -> None:
-        """Take every field by name."""
         self.revision = revision
         self.version = version
         self.node = node
@@ -129,11 +127,11 @@
 
 
 class TargetLoadReport(Record):
-    """A target's load, told to every node several times a second.
+    """A target's load, reported to every node several times a second.
 
-    ``share`` is the share of its demand that the target has room for. Of
+    ``share`` is the share of its demand that the target has capacity for. Of
     ``sent_per_second`` calls it refuses ``refused_per_second`` although its
-    node has a slot for them.
+    node has a free slot for them.
     """
 
     __slots__ = (
@@ -153,7 +151,6 @@
         sent_per_second: float,
         refused_per_second: float,
     ) -> None:
-        """Take every field by name."""
         self.target_id = target_id
         self.load = load
         self.share = share
@@ -162,16 +159,15 @@
 
 
 class DemandReport(Record):
-    """What runs at one target take, told to every node now and then.
-
-    ``seconds_by_kind`` is how long a run of each kind holds a slot,
-    ``calls_by_kind_by_kind`` the calls that it makes, by the kind that runs
-    and then the kind that is called. ``arrived_by_kind`` counts the requests
-    of each kind that reached the node from its VM in the last ``seconds``.
-    A node that has nothing new to say of its runs leaves both others empty.
-    ``retries_by_service`` is how many calls a second to each service the node
-    may send again.
-    ``revision`` and ``version`` are those of a greeting.
+    """The demand at one node, reported to every node periodically.
+
+    ``seconds_by_kind`` is how long a run of each kind holds a slot, and
+    ``calls_by_kind_by_kind`` the number of calls that it makes, by the kind
+    that runs and then the kind that is called; both are empty in reports
+    without new figures on runs. ``arrived_by_kind`` counts the requests of
+    each kind that reached the node from its VM in the last ``seconds``.
+    ``retries_by_service`` is the number of retries a second that the node may
+    send to each service. ``revision`` and ``version`` are as in a greeting.
     """
 
     __slots__ = (
@@ -199,7 +195,6 @@
         revision: int,
         version: int,
     ) -> None:
-        """Take every field by name."""
         self.revision = revision
         self.version = version
         self.node = node
--- a/tests/links/test_dialer.py
+++ b/tests/links/test_dialer.py
@@ -1,4 +1,4 @@
-"""The side of a link that sends orders, against scripted other sides."""
+"""The side of a link that sends orders, against a scripted peer."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -26,14 +26,14 @@
 PORT = 18311
 
 
-class OtherSide:
-    """Takes links; says who it is, and answers orders if it is told to."""
+class ScriptedPeer:
+    """Accepts links; sends a greeting and answers orders if set to."""
 
     def __init__(self) -> None:
-        self.incarnation = 'life-1'
-        self.greets = True
-        self.answers = True
-        self.made = 0
+        self.incarnation = 'incarnation-1'
+        self.sends_greeting = True
+        self.answers_orders = True
+        self.connection_count = 0
         self.writers: list[asyncio.StreamWriter] = []
 
     async def serve(
@@ -41,35 +41,35 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        self.made += 1
+        self.connection_count += 1
         self.writers.append(writer)
         hello = Greeting(node='n', service='s', incarnation=self.incarnation)
-        if self.greets:
+        if self.sends_greeting:
             payload = encode_message(hello)
             writer.write(encode_frame(FrameKind.GREETING, 0, payload))
         with suppress(ConnectionError, asyncio.CancelledError):
             frames = FrameReader()
             while data := await reader.read(65536):
                 for frame in frames.feed(data):
-                    self.take(writer, frame)
+                    self.handle(writer, frame)
 
-    def take(self, writer: asyncio.StreamWriter, frame: Frame) -> None:
-        if frame.kind != FrameKind.ORDER or not self.answers:
+    def handle(self, writer: asyncio.StreamWriter, frame: Frame) -> None:
+        if frame.kind != FrameKind.ORDER or not self.answers_orders:
             return
         answer = RunAnswer(outcome=Outcome.ANSWERED, status=200, body=b'ok')
         payload = encode_answer(answer)
         writer.write(encode_frame(FrameKind.ANSWER, frame.stream, payload))
 
-    def cut(self) -> None:
+    def abort_connections(self) -> None:
         for writer in self.writers:
             writer.transport.abort()
         self.writers.clear()
 
 
 @asynccontextmanager
-async def linked() -> AsyncIterator[tuple[OtherSide, Dialer]]:
-    side = OtherSide()
-    server = await asyncio.start_server(side.serve, HOST, PORT)
+async def connected_dialer() -> AsyncIterator[tuple[ScriptedPeer, Dialer]]:
+    peer = ScriptedPeer()
+    server = await asyncio.start_server(peer.serve, HOST, PORT)
     dialer = Dialer(
         HOST,
         PORT,
@@ -81,7 +81,7 @@
         numbers=count(1),
     )
     try:
-        yield side, dialer
+        yield peer, dialer
     finally:
         dialer.close()
         server.close()
@@ -111,52 +111,52 @@
 
 
 class TestDialer:
-    """A link and what becomes of the calls on it."""
+    """Establishing a link, losing it, and the outcome of its calls."""
 
     async def test_makes_the_link_for_the_first_order(self) -> None:
-        """An order that finds no link waits until it is made."""
-        async with linked() as (_, dialer):
+        """An order sent without a link waits until it is established."""
+        async with connected_dialer() as (_, dialer):
             answers: list[RunAnswer] = []
             dialer.send(order(), answers.append)
             await until(lambda: bool(answers))
             assert answers[0].body == b'ok'
 
     async def test_notices_a_silent_link(self) -> None:
-        """A link that answers no ping is made anew within two seconds."""
-        async with linked() as (side, dialer):
+        """A link without a reply to pings is reconnected within 2 s."""
+        async with connected_dialer() as (peer, dialer):
             dialer.open()
             await until(lambda: dialer.is_up)
-            await until(lambda: side.made == 2, 2)
+            await until(lambda: peer.connection_count == 2, 2)
 
-    async def test_sends_again_to_the_same_life(self) -> None:
-        """An order on a lost link is answered on the next one."""
-        async with linked() as (side, dialer):
-            side.answers = False
+    async def test_resends_to_the_same_incarnation(self) -> None:
+        """An order on a lost link is answered on the next connection."""
+        async with connected_dialer() as (peer, dialer):
+            peer.answers_orders = False
             answers: list[RunAnswer] = []
             dialer.send(order(is_repeatable=False), answers.append)
             await until(lambda: dialer.is_up)
-            side.answers = True
-            side.cut()
+            peer.answers_orders = True
+            peer.abort_connections()
             await until(lambda: bool(answers))
             assert answers[0].outcome is Outcome.ANSWERED
 
-    async def test_knows_nothing_of_another_life(self) -> None:
-        """An order that another life took is unknown at once."""
-        async with linked() as (side, dialer):
-            side.answers = False
+    async def test_ends_calls_as_unknown_after_a_restart(self) -> None:
+        """An order sent to an earlier incarnation is unknown at once."""
+        async with connected_dialer() as (peer, dialer):
+            peer.answers_orders = False
             answers: list[RunAnswer] = []
             dialer.send(order(is_repeatable=False), answers.append)
             await until(lambda: dialer.is_up)
-            side.incarnation = 'life-2'
-            side.cut()
+            peer.incarnation = 'incarnation-2'
+            peer.abort_connections()
             await until(lambda: bool(answers))
             assert answers[0].outcome is Outcome.UNKNOWN
             assert answers[0].reason is RefusalReason.CONNECTION_LOST
 
-    async def test_says_not_run_of_what_was_never_written(self) -> None:
-        """Without a greeting nothing is written, so nothing has run."""
-        async with linked() as (side, dialer):
-            side.greets = False
+    async def test_reports_unwritten_orders_as_not_run(self) -> None:
+        """Without a greeting no order is written, so none has run."""
+        async with connected_dialer() as (peer, dialer):
+            peer.sends_greeting = False
             answers: list[RunAnswer] = []
             dialer.send(order(is_repeatable=False), answers.append)
             await until(lambda: bool(answers))
@@ -164,9 +164,9 @@
             assert dialer.is_down
 
     async def test_ends_its_calls_when_closed(self) -> None:
-        """Every order has an end, also when the link is given up."""
-        async with linked() as (side, dialer):
-            side.answers = False
+        """Every order ends, also when the link is closed for good."""
+        async with connected_dialer() as (peer, dialer):
+            peer.answers_orders = False
             answers: list[RunAnswer] = []
             dialer.send(order(), answers.append)
             await until(lambda: dialer.is_up)
--- a/tests/links/test_frames.py
+++ b/tests/links/test_frames.py
@@ -1,4 +1,4 @@
-"""The wire form of what nodes tell one another."""
+"""The binary encoding of frames and messages."""
 
 import pytest
 from hypothesis import given
@@ -44,7 +44,7 @@
 
 
 class TestFrameReader:
-    """Cutting a stream into frames."""
+    """Splitting a stream of bytes into frames."""
 
     @given(st.lists(st.binary(max_size=50)), st.integers(1, 40))
     def test_finds_the_frames_however_they_arrive(
@@ -52,7 +52,7 @@
         payloads: list[bytes],
         step: int,
     ) -> None:
-        """The frames do not depend on how the bytes are cut."""
+        """The frames do not depend on how the bytes are split."""
         stream = b''.join(
             encode_frame(FrameKind.ORDER, at, payload)
             for at, payload in enumerate(payloads)
@@ -67,49 +67,49 @@
         assert [frame.stream for frame in frames] == list(range(len(payloads)))
 
     @given(st.binary(max_size=200))
-    def test_never_fails_otherwise(self, garbage: bytes) -> None:
-        """Bytes that are no frames raise the one documented error."""
+    def test_raises_only_the_documented_error(self, garbage: bytes) -> None:
+        """Random bytes raise ``MalformedFrameError`` or nothing."""
         try:
             FrameReader().feed(garbage)
         except MalformedFrameError:
             return
 
     def test_refuses_a_length_out_of_bounds(self) -> None:
-        """A frame that could never be kept is refused at its head."""
+        """A frame beyond the limit is refused before its payload arrives."""
         with pytest.raises(MalformedFrameError):
             FrameReader().feed(b'\xff' * 9)
 
 
 class TestOrders:
-    """Orders on the wire."""
+    """Encoding and decoding of orders."""
 
     def test_keep_every_field(self) -> None:
-        """An order is read as it was written, but for its clock."""
+        """Every field survives; the deadline moves to the reader's clock."""
         read = decode_order(encode_order(order(), NOW), 50.0)
         assert read == order(deadline=51.5)
 
-    def test_tell_no_time_below_zero(self) -> None:
-        """An order that is late has no time left."""
+    def test_have_no_negative_remaining_time(self) -> None:
+        """An order after its deadline has no time left."""
         late = encode_order(order(deadline=NOW - 1), NOW)
         assert decode_order(late, NOW).deadline == NOW
 
     @given(st.binary(max_size=120))
     def test_are_refused_when_malformed(self, garbage: bytes) -> None:
-        """Bytes that are no order raise the one documented error."""
+        """Random bytes raise ``MalformedFrameError`` or nothing."""
         try:
             decode_order(garbage, NOW)
         except MalformedFrameError:
             return
 
-    def test_are_refused_with_other_text(self) -> None:
-        """A name that is no UTF-8 is no order."""
+    def test_are_refused_with_invalid_utf8(self) -> None:
+        """An order with a name that is not UTF-8 is malformed."""
         encoded = encode_order(order(target_id='i-1'), NOW)
         with pytest.raises(MalformedFrameError):
             decode_order(encoded.replace(b'i-1', b'\xff\xfe1'), NOW)
 
 
 class TestAnswers:
-    """Answers on the wire."""
+    """Encoding and decoding of answers."""
 
     @pytest.mark.parametrize('outcome', list(Outcome))
     @pytest.mark.parametrize('reason', [None, *RefusalReason])
@@ -118,12 +118,12 @@
         outcome: Outcome,
         reason: RefusalReason | None,
     ) -> None:
-        """Outcomes and reasons are never merged."""
+        """Every combination of outcome and reason stays distinct."""
         answer = RunAnswer(outcome=outcome, reason=reason, load=LOAD)
         assert decode_answer(encode_answer(answer)) == answer
 
     def test_keep_the_target_s_answer(self) -> None:
-        """Status, fields and body arrive as they left."""
+        """Status, header fields and body are unchanged."""
         answer = RunAnswer(
             outcome=Outcome.ANSWERED,
             status=201,
@@ -132,23 +132,23 @@
         )
         assert decode_answer(encode_answer(answer)) == answer
 
-    def test_are_refused_when_cut(self) -> None:
-        """An answer that is shorter than it says is refused."""
+    def test_are_refused_when_truncated(self) -> None:
+        """An answer shorter than its declared lengths is refused."""
         answer = RunAnswer(outcome=Outcome.ANSWERED, fields=b'a: b\r\n')
         with pytest.raises(MalformedFrameError):
             decode_answer(encode_answer(answer)[:-1])
 
 
 class TestLoad:
-    """A target's load on the wire."""
+    """Encoding and decoding of load reports."""
 
     def test_keeps_every_field(self) -> None:
-        """Load, share and target arrive as they left."""
-        news = TargetLoadReport(
+        """Load, share, rates and target are unchanged."""
+        report = TargetLoadReport(
             target_id='i-1',
             load=LOAD,
             share=0.5,
             sent_per_second=40,
             refused_per_second=2.5,
         )
-        assert decode_load(encode_load(news)) == news
+        assert decode_load(encode_load(report)) == report
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,14 +1,14 @@
-"""Loopback addresses of this test process alone.
+"""Loopback addresses that are specific to this test process.
 
-Two runs of the tests on one machine then do not meet at a port.
+They let two test runs on one machine use the same ports.
 """
 
 import os
 
-_NETWORKS = 250
+_OCTET_VALUES = 250
 
 
 def own_host(number: int) -> str:
-    """Return an address that no other test process uses, by its number."""
-    high, low = divmod(os.getpid(), _NETWORKS)
-    return f'127.{1 + high % _NETWORKS}.{low}.{number}'
+    """Return a loopback address, different in each test process."""
+    high, low = divmod(os.getpid(), _OCTET_VALUES)
+    return f'127.{1 + high % _OCTET_VALUES}.{low}.{number}'
