--- a/src/lovageshunt/http1/__init__.py
+++ b/src/lovageshunt/http1/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 on asyncio transports, parsed by a library.
+"""HTTP/1.1 client and server on asyncio transports, parsed by httptools.
 
-It carries the requests of a sidecar: whole messages only, one at a time on a
-connection, with no task of its own for each of them.
+It serves the sidecar: messages are complete before they are handed over, a
+connection processes one request at a time, and no task is started per request.
 """
 
 from lovageshunt.http1._client import ClientConnection, Exchange
--- a/src/lovageshunt/http1/_client.py
+++ b/src/lovageshunt/http1/_client.py
@@ -1,4 +1,4 @@
-"""The side that sends requests to a target."""
+"""The client side: connections that send requests to a server."""
 
 from asyncio import BaseTransport, Protocol, Transport
 from collections.abc import Callable
@@ -8,25 +8,26 @@
 from httptools import HttpParserError, HttpParserUpgrade, HttpResponseParser
 
 from lovageshunt.http1._messages import (
-    BODILESS,
+    BODILESS_STATUSES,
     ExchangeEnd,
     Header,
     Response,
     first_header,
 )
 
-#: Interim answers, which precede the final one.
-_INTERIM_END: Final = 200
-_FRAMING: Final = frozenset((b'content-length', b'transfer-encoding'))
+#: Lower statuses are those of interim responses, which precede the final one.
+_MIN_FINAL_STATUS: Final = 200
+_FRAMING_FIELDS: Final = frozenset((b'content-length', b'transfer-encoding'))
 _TIMEOUT_OPTION: Final = b'timeout='
 
 
 class Exchange:
-    """A request on its way and what becomes of it.
+    """An encoded request, with a callback for its end.
 
-    ``identity`` is a header and the value that the response must echo; a
-    response with another value belongs to an earlier request and is passed
-    over. ``ended`` is called once.
+    ``identity`` is a header with the value that the response echoes; a
+    response with another value belongs to an earlier request and is ignored.
+    ``has_body`` is false for HEAD, whose responses have no body. ``ended`` is
+    called once.
     """
 
     __slots__ = ('encoded', 'identity', 'has_body', 'ended')
@@ -39,7 +40,6 @@
         identity: Header | None = None,
         has_body: bool = True,
     ) -> None:
-        """Take the request as written; ``has_body`` is false for HEAD."""
         self.encoded = encoded
         self.identity = identity
         self.has_body = has_body
@@ -47,11 +47,17 @@
 
 
 class ClientConnection(Protocol):
-    """One connection to a server; one exchange at a time."""
+    """One connection to a server, for one exchange at a time.
+
+    ``on_free`` is called whenever the connection may be used again,
+    ``on_closed`` once it is closed. ``idle_since`` is on the monotonic
+    clock, in seconds. ``idle_limit_seconds`` is how long the server keeps an
+    idle connection, or ``None`` if it did not announce that.
+    """
 
     __slots__ = (
-        '_closed',
-        '_freed',
+        '_on_closed',
+        '_on_free',
         '_transport',
         '_parser',
         '_exchange',
@@ -59,12 +65,12 @@
         '_headers',
         '_body',
         '_is_delimited',
-        '_is_passed_over',
+        '_is_stale',
         '_has_head',
         '_has_bytes',
         '_has_surplus',
         '_keeps_alive',
-        '_ready',
+        '_complete_response',
         '_is_first',
         'idle_since',
         'idle_limit_seconds',
@@ -72,65 +78,63 @@
 
     def __init__(
         self,
-        closed: Callable[['ClientConnection'], None],
-        freed: Callable[['ClientConnection'], None],
+        on_closed: Callable[['ClientConnection'], None],
+        on_free: Callable[['ClientConnection'], None],
     ) -> None:
-        """Call ``freed`` when it may be used again, ``closed`` at its end."""
-        self._closed = closed
-        self._freed = freed
+        self._on_closed = on_closed
+        self._on_free = on_free
         self._transport: Transport | None = None
         self._parser = HttpResponseParser(self)
         self._exchange: Exchange | None = None
         self._is_first = True
         self.idle_since = float(0)
-        #: How long the server keeps an idle connection, as far as it said.
         self.idle_limit_seconds: float | None = None
         self._has_bytes = False
         self._has_surplus = False
         self._keeps_alive = True
-        self._ready: Response | None = None
+        self._complete_response: Response | None = None
         self.on_message_begin()
 
     @property
     def is_open(self) -> bool:
-        """Tell whether the connection can carry another exchange."""
+        """Whether the connection can carry another exchange."""
         return self._transport is not None
 
     def send(self, exchange: Exchange) -> None:
-        """Write a request; the connection must be open and idle."""
+        """Send a request; the connection must be open and idle."""
         self._exchange = exchange
         self._has_bytes = False
         if self._transport is not None:
             self._transport.write(exchange.encoded)
 
     def cancel(self) -> None:
-        """Give the exchange up and close the connection."""
+        """Cancel the exchange and close the connection."""
         self.close()
         self._end(ExchangeEnd.CANCELLED, None)
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately, without flushing."""
         if self._transport is not None:
             transport = self._transport
             self._transport = None
             transport.abort()
 
-    # What asyncio calls.
+    # Called by asyncio.
 
     def connection_made(self, transport: BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the exchange; a clean end may complete an unframed answer."""
+        """End the exchange; a clean close completes an unframed response."""
         self._transport = None
-        if exc is None and self._ends_here():
+        if exc is None and self._is_ended_by_close():
             self._end(ExchangeEnd.COMPLETE, self._response())
-        self._end(self._loss(), None)
-        self._closed(self)
+        self._end(self._end_after_loss(), None)
+        self._on_closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what the server sent; idle connections expect nothing."""
+        """Parse data from the server; close an idle connection on any."""
         if self._exchange is None:
             self.close()
             return
@@ -139,33 +143,33 @@
             self._parser.feed_data(data)
         except (HttpParserError, HttpParserUpgrade):
             self._has_surplus = True
-            if self._ready is None:
+            if self._complete_response is None:
                 self.close()
                 self._end(ExchangeEnd.INCOMPLETE, None)
         self._deliver()
 
-    # What the parser calls.
+    # Called by the parser.
 
     def on_message_begin(self) -> None:
-        """Start over with an empty message."""
-        if self._ready is not None:
+        """Reset the state of the message."""
+        if self._complete_response is not None:
             self._has_surplus = True
         self._status = 0
         self._headers: list[Header] = []
         self._body: list[bytes] = []
         self._is_delimited = False
-        self._is_passed_over = False
+        self._is_stale = False
         self._has_head = False
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Collect a header."""
+        """Store a header; note if it determines where the body ends."""
         lower = name.lower()
-        if lower in _FRAMING:
+        if lower in _FRAMING_FIELDS:
             self._is_delimited = True
         self._headers.append((lower, text))
 
     def on_headers_complete(self) -> None:
-        """Check whose response it is."""
+        """Check by its identity whether the response is stale."""
         self._status = self._parser.get_status_code()
         self._has_head = True
         exchange = self._exchange
@@ -174,24 +178,24 @@
         if exchange.identity is not None:
             name, wanted = exchange.identity
             echoed = first_header(self._headers, name)
-            self._is_passed_over = bool(echoed) and echoed != wanted
-        if not exchange.has_body and not self._is_passed_over:
+            self._is_stale = bool(echoed) and echoed != wanted
+        if not exchange.has_body and not self._is_stale:
             self._keeps_alive = False
-            self._ready = self._response()
+            self._complete_response = self._response()
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body."""
+        """Store a part of the body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Have the response ready, or wait for the one that belongs here."""
-        is_interim = self._status < _INTERIM_END
-        if is_interim or self._is_passed_over or self._ready is not None:
+        """Keep the response for delivery, unless it is interim or stale."""
+        is_interim = self._status < _MIN_FINAL_STATUS
+        if is_interim or self._is_stale or self._complete_response is not None:
             return
-        is_framed = self._is_delimited or self._status in BODILESS
+        is_framed = self._is_delimited or self._status in BODILESS_STATUSES
         self._keeps_alive = is_framed and self._parser.should_keep_alive()
         self._note_idle_limit()
-        self._ready = self._response()
+        self._complete_response = self._response()
 
     def _response(self) -> Response:
         return Response(
@@ -201,11 +205,11 @@
         )
 
     def _deliver(self) -> None:
-        """Hand over the response once all bytes at hand were parsed."""
-        response = self._ready
+        """Hand over the response after all received bytes were parsed."""
+        response = self._complete_response
         if response is None:
             return
-        self._ready = None
+        self._complete_response = None
         if self._has_surplus or not self._keeps_alive:
             self.close()
         self._end(ExchangeEnd.COMPLETE, response)
@@ -218,17 +222,17 @@
         self._is_first = False
         self.idle_since = monotonic()
         if self._transport is not None:
-            self._freed(self)
+            self._on_free(self)
         exchange.ended(end, response)
 
-    def _ends_here(self) -> bool:
-        """Tell whether a clean end of the connection ends the response."""
-        if self._is_passed_over or self._is_delimited:
+    def _is_ended_by_close(self) -> bool:
+        """Whether a clean close of the connection ends the response."""
+        if self._is_stale or self._is_delimited:
             return False
-        is_final = self._status >= _INTERIM_END
+        is_final = self._status >= _MIN_FINAL_STATUS
         return is_final and self._has_head
 
-    def _loss(self) -> ExchangeEnd:
+    def _end_after_loss(self) -> ExchangeEnd:
         if self._has_bytes or self._is_first:
             return ExchangeEnd.INCOMPLETE
         return ExchangeEnd.CLOSED
--- a/src/lovageshunt/http1/_limits.py
+++ b/src/lovageshunt/http1/_limits.py
@@ -1,14 +1,15 @@
-"""Limits on what a client may send, and how long it may take."""
+"""Limits on the size and the duration of client requests."""
 
 from lovageshunt._record import Record
 
 
 class ServerLimits(Record):
-    """Bounds of one client connection.
+    """Limits of one client connection.
 
-    ``head_bytes`` bounds the request line with the headers, ``body_bytes``
-    the body, ``head_seconds`` the time for the head, ``idle_seconds`` the
-    time without a request.
+    ``head_bytes`` limits the request target together with the headers,
+    ``body_bytes`` the body, ``head_seconds`` the time without new data while
+    a request is being received, and ``idle_seconds`` the time without a
+    request.
     """
 
     __slots__ = ('head_bytes', 'body_bytes', 'head_seconds', 'idle_seconds')
@@ -21,7 +22,6 @@
         head_seconds: float = 10,
         idle_seconds: float = 60,
     ) -> None:
-        """Take every bound by name."""
         self.head_bytes = head_bytes
         self.body_bytes = body_bytes
         self.head_seconds = head_seconds
--- a/src/lovageshunt/http1/_messages.py
+++ b/src/lovageshunt/http1/_messages.py
@@ -1,4 +1,4 @@
-"""Whole messages, and how they are written."""
+"""Complete HTTP messages and their encoding."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -8,8 +8,9 @@
 
 from lovageshunt._record import Record
 
-#: Header fields that concern one connection only, in lower case.
-_CONNECTION_FIELDS: Final = frozenset(
+#: Header fields that are not forwarded, in lower case: hop-by-hop fields, and
+#: those that this package sets or handles itself.
+_HOP_BY_HOP_FIELDS: Final = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -25,16 +26,17 @@
 _REASON_BY_STATUS: Final = MappingProxyType(
     {int(status): status.phrase.encode() for status in HTTPStatus},
 )
-#: Statuses whose answers have no body and no length.
-BODILESS: Final = frozenset((204, 304))
+#: Statuses of responses that have no body and no content length.
+BODILESS_STATUSES: Final = frozenset((204, 304))
 
 Header = tuple[bytes, bytes]
 
 
 class Request(Record):
-    """A whole request. ``target`` is the request target as it was sent.
+    """A complete request; ``target`` is the request target as received.
 
-    ``headers`` have lower-case names, in the order in which they came.
+    ``headers`` have lower-case names and are in the order of receipt.
+    ``keeps_alive`` is false if the client asked to close the connection.
     """
 
     __slots__ = ('method', 'target', 'headers', 'body', 'keeps_alive')
@@ -48,7 +50,6 @@
         body: bytes = b'',
         keeps_alive: bool = True,
     ) -> None:
-        """Take every part by name."""
         self.method = method
         self.target = target
         self.headers = headers
@@ -56,12 +57,12 @@
         self.keeps_alive = keeps_alive
 
     def header(self, name: bytes) -> bytes:
-        """Return the first header of a lower-case name, or nothing."""
+        """Return the first value of a lower-case name, or ``b''``."""
         return first_header(self.headers, name)
 
 
 class Response(Record):
-    """A whole response; ``headers`` have lower-case names."""
+    """A complete response; ``headers`` have lower-case names."""
 
     __slots__ = ('status', 'headers', 'body')
 
@@ -72,13 +73,12 @@
         headers: list[Header],
         body: bytes = b'',
     ) -> None:
-        """Take every part by name."""
         self.status = status
         self.headers = headers
         self.body = body
 
     def header(self, name: bytes) -> bytes:
-        """Return the first header of a lower-case name, or nothing."""
+        """Return the first value of a lower-case name, or ``b''``."""
         return first_header(self.headers, name)
 
 
@@ -100,7 +100,7 @@
 
 
 def first_header(headers: Iterable[Header], name: bytes) -> bytes:
-    """Return the first header of a lower-case name, or nothing."""
+    """Return the first value of a lower-case name, or ``b''``."""
     for field, text in headers:
         if field == name:
             return text
@@ -111,20 +111,20 @@
     headers: list[Header],
     dropped: frozenset[bytes],
 ) -> bytes:
-    """Return header lines to pass on, without those of one connection.
+    """Return the header lines to forward, without hop-by-hop fields.
 
-    ``dropped`` names further fields that are left out, in lower case.
+    ``dropped`` names further fields to leave out, in lower case.
     """
     named = first_header(headers, b'connection').lower()
     if named in {b'', b'keep-alive', b'close'}:
-        unwanted = dropped
+        excluded = dropped
     else:
-        listed = (option.strip() for option in named.split(b','))
-        unwanted = dropped.union(listed)
+        listed_names = (option.strip() for option in named.split(b','))
+        excluded = dropped.union(listed_names)
     return b''.join(
         b'%b: %b\r\n' % header
         for header in headers
-        if header[0] not in _CONNECTION_FIELDS and header[0] not in unwanted
+        if header[0] not in _HOP_BY_HOP_FIELDS and header[0] not in excluded
     )
 
 
@@ -135,7 +135,7 @@
     fields: bytes,
     body: bytes,
 ) -> bytes:
-    """Write a request; ``fields`` are whole header lines."""
+    """Encode a request; ``fields`` are complete header lines."""
     length = b''
     if body or method not in {b'GET', b'HEAD', b'DELETE', b'OPTIONS'}:
         length = b'content-length: %d\r\n' % len(body)
@@ -156,13 +156,14 @@
     closes: bool,
     has_body: bool = True,
 ) -> bytes:
-    """Write a response; ``fields`` are whole header lines.
+    """Encode a response; ``fields`` are complete header lines.
 
-    ``has_body`` is false for the answer to HEAD, which tells only a length.
+    ``has_body`` is false for the response to HEAD, which has only the length
+    of ``body``. ``closes`` announces that the connection will be closed.
     """
     reason = _REASON_BY_STATUS.get(status, b'Unknown')
     length = b''
-    if status not in BODILESS:
+    if status not in BODILESS_STATUSES:
         length = b'content-length: %d\r\n' % len(body)
     connection = b'connection: close\r\n' if closes else b''
     sent_body = body if has_body else b''
--- a/src/lovageshunt/http1/_pool.py
+++ b/src/lovageshunt/http1/_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to one server."""
+"""A pool of persistent connections to one server."""
 
 from asyncio import Task, get_running_loop, timeout
 from logging import getLogger
@@ -9,23 +9,22 @@
 from lovageshunt.http1._messages import ExchangeEnd, Response
 
 _log = getLogger(__name__)
-#: How long a connection may take to be made, in seconds; both ends stand on
-#: one VM, so a server that takes longer has no room for it.
-_CONNECT_SECONDS: Final = 2.0
-#: An idle connection is used no later than this before the server's own
-#: limit, in seconds: its close may be on the way.
+#: Both ends are on one VM, so a server that takes longer to accept a
+#: connection has no capacity for it.
+_CONNECT_TIMEOUT_SECONDS: Final = 2.0
+#: An idle connection is not reused within this time before the server's own
+#: limit, because the server may already be closing it.
 _IDLE_MARGIN_SECONDS: Final = 1.0
-#: The idle limit assumed of a server that tells none, in seconds.
-_IDLE_SECONDS: Final = 5.0
+#: Idle limit assumed for a server that announces none.
+_DEFAULT_IDLE_LIMIT_SECONDS: Final = 5.0
 
 
 class PendingExchange:
-    """An exchange that was given to a pool; it ends exactly once."""
+    """An exchange that was handed to a pool; it ends exactly once."""
 
     __slots__ = ('_ended', '_exchange', '_connection', '_is_over')
 
     def __init__(self, exchange: Exchange) -> None:
-        """Begin without a connection."""
         self._ended = exchange.ended
         self._exchange = Exchange(
             encoded=exchange.encoded,
@@ -38,33 +37,35 @@
 
     @property
     def is_over(self) -> bool:
-        """Tell whether the exchange has ended."""
+        """Whether the end of the exchange was reported."""
         return self._is_over
 
     def begin(self, connection: ClientConnection) -> None:
-        """Write the request on a connection."""
+        """Send the request on a connection."""
         self._connection = connection
         connection.send(self._exchange)
 
     def end(self, end: ExchangeEnd, response: Response | None) -> None:
-        """Report the end, unless that was done."""
+        """Report the end, unless one was reported before."""
         if not self._is_over:
             self._is_over = True
             self._connection = None
             self._ended(end, response)
 
     def cancel(self) -> None:
-        """Give the exchange up; what is at work at the server is cut off."""
+        """Cancel the exchange; close its connection if it was sent."""
         if self._connection is not None:
             self._connection.cancel()
         self.end(ExchangeEnd.CANCELLED, None)
 
 
 class ConnectionPool:
-    """Sends exchanges over as few connections to one address as it can."""
+    """Sends exchanges to one address, reusing idle connections.
+
+    At most ``max_connections`` connections are open at a time.
+    """
 
     def __init__(self, host: str, port: int, max_connections: int) -> None:
-        """Open at most ``max_connections`` connections."""
         self._host = host
         self._port = port
         self.max_connections = max_connections
@@ -74,101 +75,109 @@
 
     @property
     def open_count(self) -> int:
-        """Return how many connections are open or being made."""
+        """Return the number of connections that are open or being opened."""
         return self._open_count
 
     def send(
         self,
         exchange: Exchange,
-        fresh_within_seconds: float | None = None,
+        max_idle_seconds: float | None = None,
     ) -> PendingExchange:
-        """Send on a kept connection, or on a new one.
+        """Send on an idle connection, or else on a new one.
 
-        ``fresh_within_seconds`` asks for a connection that was used so
-        lately, for a request that must not meet a closing one. With no
-        connection to be had the exchange ends unsent.
+        ``max_idle_seconds`` excludes connections that were idle for longer,
+        for a request that must not be sent while the server closes the
+        connection. If no connection is available, the exchange ends unsent.
         """
-        sending = PendingExchange(exchange)
-        connection = self._take_idle(fresh_within_seconds)
+        pending = PendingExchange(exchange)
+        connection = self._take_idle(max_idle_seconds)
         if connection is None:
-            self._open(sending)
+            self._open(pending)
         else:
-            sending.begin(connection)
-        return sending
+            pending.begin(connection)
+        return pending
 
     def close(self) -> None:
-        """Close every idle connection; the others close when they end."""
+        """Close the idle connections; those in use stay open."""
         for connection in self._idle:
             connection.close()
         self._idle.clear()
 
     def close_stale(self) -> None:
-        """Close the connections that were idle for too long."""
+        """Close the connections that were idle for longer than their limit."""
         now = monotonic()
-        stale = [each for each in self._idle if _is_stale(each, now, None)]
+        stale = [
+            connection
+            for connection in self._idle
+            if _is_idle_for_too_long(connection, now, None)
+        ]
         for connection in stale:
             self._idle.remove(connection)
             connection.close()
 
-    def _take_idle(self, within: float | None) -> ClientConnection | None:
+    def _take_idle(
+        self, max_idle_seconds: float | None
+    ) -> ClientConnection | None:
         now = monotonic()
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_open and not _is_stale(connection, now, within):
+            if connection.is_open and not _is_idle_for_too_long(
+                connection, now, max_idle_seconds
+            ):
                 return connection
             connection.close()
         return None
 
-    def _open(self, sending: PendingExchange) -> None:
+    def _open(self, pending: PendingExchange) -> None:
         if self._open_count >= self.max_connections:
-            sending.end(ExchangeEnd.UNSENT, None)
+            pending.end(ExchangeEnd.UNSENT, None)
             return
         self._open_count += 1
-        task = get_running_loop().create_task(self._connect(sending))
+        task = get_running_loop().create_task(self._connect(pending))
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
-    async def _connect(self, sending: PendingExchange) -> None:
+    async def _connect(self, pending: PendingExchange) -> None:
         loop = get_running_loop()
         try:
-            async with timeout(_CONNECT_SECONDS):
+            async with timeout(_CONNECT_TIMEOUT_SECONDS):
                 _, connection = await loop.create_connection(
-                    lambda: ClientConnection(self._closed, self._freed),
+                    lambda: ClientConnection(self._on_closed, self._on_free),
                     self._host,
                     self._port,
                 )
         except OSError as error:
             _log.warning(
-                'no connection to %s:%d: %s; see that the target runs',
+                'cannot connect to %s:%d: %s; check that the target is running',
                 self._host,
                 self._port,
                 error or type(error).__name__,
             )
             self._open_count -= 1
-            sending.end(ExchangeEnd.UNSENT, None)
+            pending.end(ExchangeEnd.UNSENT, None)
             return
-        if sending.is_over:
-            self._freed(connection)
+        if pending.is_over:
+            self._on_free(connection)
             return
-        sending.begin(connection)
+        pending.begin(connection)
 
-    def _freed(self, connection: ClientConnection) -> None:
+    def _on_free(self, connection: ClientConnection) -> None:
         connection.idle_since = monotonic()
         self._idle.append(connection)
 
-    def _closed(self, connection: ClientConnection) -> None:
+    def _on_closed(self, connection: ClientConnection) -> None:
         self._open_count -= 1
         if connection in self._idle:
             self._idle.remove(connection)
 
 
-def _is_stale(
+def _is_idle_for_too_long(
     connection: ClientConnection,
     now: float,
-    within: float | None,
+    max_idle_seconds: float | None,
 ) -> bool:
-    limit = connection.idle_limit_seconds or _IDLE_SECONDS
+    limit = connection.idle_limit_seconds or _DEFAULT_IDLE_LIMIT_SECONDS
     limit = max(limit - _IDLE_MARGIN_SECONDS, limit / 2)
-    if within is not None:
-        limit = min(limit, within)
+    if max_idle_seconds is not None:
+        limit = min(limit, max_idle_seconds)
     return now - connection.idle_since > limit
--- a/src/lovageshunt/http1/_server.py
+++ b/src/lovageshunt/http1/_server.py
@@ -1,4 +1,4 @@
-"""The side that takes requests."""
+"""The server side: connections that receive requests from clients."""
 
 from asyncio import BaseTransport, Protocol, Transport
 from collections import deque
@@ -14,34 +14,39 @@
 
 _log = getLogger(__name__)
 _CONTINUE: Final = b'HTTP/1.1 100 Continue\r\n\r\n'
-#: Requests read ahead of their turn before reading is paused.
-_MOST_AHEAD: Final = 8
+#: Reading is paused once this many requests wait for the one in progress.
+_MAX_PIPELINED_REQUESTS: Final = 8
 _BAD_REQUEST: Final = 400
-_TIMED_OUT: Final = 408
-_TOO_LARGE: Final = 413
-_HEAD_TOO_LARGE: Final = 431
+_REQUEST_TIMEOUT: Final = 408
+_CONTENT_TOO_LARGE: Final = 413
+_HEADERS_TOO_LARGE: Final = 431
 
 
 class RequestHandler(Interface):
-    """Takes the whole requests of all client connections."""
+    """Handles the complete requests of all client connections."""
 
     def handle(self, request: Request, connection: 'ServerConnection') -> Any:
-        """Begin a request; return a token for ``abandon``.
+        """Start to handle a request; return a token for ``abandon``.
 
-        The answer goes to ``connection.respond`` once, now or later.
+        ``connection.respond`` is called once, within this call or later.
         """
 
     def abandon(self, token: Any) -> None:
-        """Give up a request whose client has left."""
+        """Give up a request whose client has disconnected."""
 
 
 class ServerConnection(Protocol):
-    """One client connection; requests are served one at a time."""
+    """One client connection; requests are handled one at a time.
+
+    ``open_connections`` is the set that the connection is in while it is
+    open. If ``closes_next`` is true, the next response announces that the
+    connection closes.
+    """
 
     __slots__ = (
         '_handler',
         '_limits',
-        '_open',
+        '_open_connections',
         '_transport',
         '_parser',
         '_target',
@@ -49,12 +54,12 @@
         '_body',
         '_head_size',
         '_body_size',
-        '_ahead',
+        '_pipelined',
         '_current',
         '_token',
         '_is_broken',
         '_is_reading',
-        '_since',
+        '_last_activity_at',
         'closes_next',
     )
 
@@ -64,88 +69,86 @@
         limits: ServerLimits,
         open_connections: set['ServerConnection'],
     ) -> None:
-        """Serve with a handler; join the set of open connections."""
         self._handler = handler
         self._limits = limits
-        self._open = open_connections
+        self._open_connections = open_connections
         self._transport: Transport | None = None
         self._parser = HttpRequestParser(self)
-        self._ahead: deque[Request] = deque()
+        self._pipelined: deque[Request] = deque()
         self._current: Request | None = None
         self._token: Any = None
         self._is_broken = False
         self._is_reading = False
-        self._since = monotonic()
-        #: The next answer announces that the connection closes.
+        self._last_activity_at = monotonic()
         self.closes_next = False
         self._begin_message()
 
-    # What asyncio calls.
+    # Called by asyncio.
 
     def connection_made(self, transport: BaseTransport) -> None:
-        """Join the open connections."""
+        """Join the set of open connections."""
         self._transport = cast(Transport, transport)
-        self._open.add(self)
+        self._open_connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up the request in progress; its client has left."""
+        """Give up the request in progress; its client has disconnected."""
         self._transport = None
-        self._open.discard(self)
-        self._ahead.clear()
+        self._open_connections.discard(self)
+        self._pipelined.clear()
         if self._current is not None:
             self._current = None
             self._handler.abandon(self._token)
             self._token = None
 
     def data_received(self, data: bytes) -> None:
-        """Parse what the client sent."""
+        """Parse data from the client; refuse malformed requests."""
         if self._is_broken:
             return
-        self._since = monotonic()
+        self._last_activity_at = monotonic()
         try:
             self._parser.feed_data(data)
         except HttpParserUpgrade:
             self._refuse(_BAD_REQUEST)
         except HttpParserError as error:
-            _log.info('a request was malformed and is refused: %s', error)
+            _log.info('refusing a malformed request: %s', error)
             self._refuse(_BAD_REQUEST)
 
     def eof_received(self) -> None:
-        """Take a half-closed connection for a client that has left."""
+        """Close the connection: a half-closed one counts as disconnected."""
 
-    # What the parser calls.
+    # Called by the parser.
 
     def on_message_begin(self) -> None:
-        """Start over with an empty message."""
+        """Reset the state of the message."""
         self._begin_message()
         self._is_reading = True
 
     def on_url(self, url: bytes) -> None:
-        """Collect the request target, which may come in parts."""
+        """Append to the request target, which may arrive in parts."""
         self._target += url
         self._check_head(len(url))
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Collect a header."""
+        """Store a header; refuse a head that is too large."""
         self._headers.append((name.lower(), text))
         self._check_head(len(name) + len(text))
 
     def on_headers_complete(self) -> None:
-        """Tell a client that waits with its body to go on."""
+        """Send ``100 Continue`` to a client that waits for it."""
         for name, text in self._headers:
             if name == b'expect' and text.lower() == b'100-continue':
                 self._write(_CONTINUE)
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body within its bound."""
+        """Store a part of the body; refuse a body that is too large."""
         self._body_size += len(body)
         if self._body_size > self._limits.body_bytes:
-            self._refuse(_TOO_LARGE)
+            self._refuse(_CONTENT_TOO_LARGE)
             return
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Serve the request, or keep it until its turn."""
+        """Handle the request, or queue it behind the one in progress."""
         if self._is_broken:
             return
         self._is_reading = False
@@ -159,14 +162,17 @@
         if self._current is None:
             self._start(request)
             return
-        self._ahead.append(request)
-        if len(self._ahead) >= _MOST_AHEAD and self._transport is not None:
+        self._pipelined.append(request)
+        if (
+            len(self._pipelined) >= _MAX_PIPELINED_REQUESTS
+            and self._transport is not None
+        ):
             self._transport.pause_reading()
 
-    # What the handler calls.
+    # Called by the handler.
 
     def respond(self, *, status: int, fields: bytes, body: bytes) -> bool:
-        """Answer the request in progress; tell whether its client is there."""
+        """Send the response; return false if the client has disconnected."""
         request = self._current
         if request is None or self._transport is None:
             return False
@@ -181,31 +187,34 @@
             has_body=request.method != b'HEAD',
         )
         self._transport.write(encoded)
-        self._since = monotonic()
+        self._last_activity_at = monotonic()
         if closes or self._is_broken:
             self._transport.close()
-        elif self._ahead:
+        elif self._pipelined:
             self._transport.resume_reading()
-            self._start(self._ahead.popleft())
+            self._start(self._pipelined.popleft())
         return True
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether no request is in progress or half read."""
+        """Whether no request is in progress or partly received."""
         return self._current is None and not self._is_reading
 
     def close_if_due(self, now: float) -> None:
-        """Close a connection that was idle, or sent a head, for too long."""
+        """Close the connection if a time limit of its client has passed.
+
+        ``now`` is on the monotonic clock, in seconds.
+        """
         if self._transport is None or self._current is not None:
             return
-        elapsed = now - self._since
+        elapsed = now - self._last_activity_at
         if self._is_reading and elapsed > self._limits.head_seconds:
-            self._refuse(_TIMED_OUT)
+            self._refuse(_REQUEST_TIMEOUT)
         elif elapsed > self._limits.idle_seconds:
             self._transport.close()
 
     def close_idle(self) -> None:
-        """Close the connection if nothing would be lost."""
+        """Close the connection if no request would be lost."""
         if self._transport is not None and self.is_idle:
             self._transport.close()
 
@@ -219,17 +228,17 @@
     def _check_head(self, size: int) -> None:
         self._head_size += size
         if self._head_size > self._limits.head_bytes:
-            self._refuse(_HEAD_TOO_LARGE)
+            self._refuse(_HEADERS_TOO_LARGE)
 
     def _start(self, request: Request) -> None:
         self._current = request
         token = self._handler.handle(request, self)
-        # The answer may have been given within the call.
+        # The handler may have responded within the call.
         if self._current is request:
             self._token = token
 
     def _refuse(self, status: int) -> None:
-        """Answer what cannot be served, and read no more."""
+        """Accept no more data; send ``status`` if no request is in progress."""
         if self._is_broken:
             return
         self._is_broken = True
--- a/tests/http1/test_client.py
+++ b/tests/http1/test_client.py
@@ -1,4 +1,4 @@
-"""The side that sends requests to a target."""
+"""Client connections, with the responses of a server fed in."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 class Wire:
-    """A connection with an exchange on it."""
+    """A connection over a fake transport, with one exchange sent."""
 
     def __init__(self, *, has_body: bool = True) -> None:
         self.ends: list[tuple[ExchangeEnd, Response | None]] = []
@@ -58,61 +58,61 @@
 
 
 class TestClientConnection:
-    """One exchange at a time, whole or lost."""
+    """How exchanges end, and when a connection is reused."""
 
-    def test_hands_over_a_whole_answer(self) -> None:
-        """An answer in parts is handed over once, and whole."""
+    def test_delivers_a_complete_response(self) -> None:
+        """A response received in parts is delivered once, complete."""
         wire = Wire()
         wire.receive(COMPLETE[:20], COMPLETE[20:])
         assert wire.only_end is ExchangeEnd.COMPLETE
         assert wire.body == b'ok'
         assert wire.freed == [wire.connection]
 
-    def test_passes_over_a_late_answer(self) -> None:
-        """An answer to an earlier request is not given to this one."""
+    def test_ignores_a_stale_response(self) -> None:
+        """The response to an earlier request is not delivered for this one."""
         wire = Wire()
         wire.receive(STALE)
         assert not wire.ends
         wire.receive(COMPLETE)
         assert wire.body == b'ok'
 
-    def test_closes_after_bytes_behind_an_answer(self) -> None:
-        """The answer counts, and its connection is used no more."""
+    def test_closes_after_bytes_behind_a_response(self) -> None:
+        """The response is valid, but its connection is not reused."""
         wire = Wire()
         wire.receive(COMPLETE + STALE)
         assert wire.body == b'ok'
         assert wire.transport.is_closed
         assert not wire.freed
 
-    def test_closes_when_idle_and_bytes_come(self) -> None:
-        """Bytes that nobody waits for end the connection."""
+    def test_closes_when_idle_and_bytes_arrive(self) -> None:
+        """Unexpected bytes close an idle connection."""
         wire = Wire()
         wire.receive(COMPLETE)
         wire.receive(STALE)
         assert wire.transport.is_closed
 
-    def test_takes_garbage_behind_an_answer(self) -> None:
-        """Garbage behind a whole answer costs the connection only."""
+    def test_accepts_a_response_before_garbage(self) -> None:
+        """Garbage behind a complete response only closes the connection."""
         wire = Wire()
         wire.receive(COMPLETE + b'\x00\x00\x00')
         assert wire.only_end is ExchangeEnd.COMPLETE
         assert wire.transport.is_closed
 
-    def test_is_cut_by_garbage(self) -> None:
-        """Bytes that are no answer end the exchange as cut."""
+    def test_is_incomplete_after_garbage(self) -> None:
+        """Bytes that are not a response end the exchange as incomplete."""
         wire = Wire()
         wire.receive(b'nonsense\r\n\r\n')
         assert wire.only_end is ExchangeEnd.INCOMPLETE
 
-    def test_is_cut_when_the_answer_breaks_off(self) -> None:
-        """A close before the last byte is never a whole answer."""
+    def test_is_incomplete_when_the_response_is_truncated(self) -> None:
+        """A close before the last byte never yields a response."""
         wire = Wire()
         wire.receive(COMPLETE[:-1])
         wire.connection.connection_lost(None)
         assert wire.only_end is ExchangeEnd.INCOMPLETE
 
-    def test_takes_an_unframed_answer_at_its_end(self) -> None:
-        """An answer without a length is whole when the target ends it."""
+    def test_accepts_an_unframed_response_at_its_end(self) -> None:
+        """A clean close completes a response without a length."""
         wire = Wire()
         wire.receive(UNFRAMED)
         assert not wire.ends
@@ -120,43 +120,43 @@
         assert wire.only_end is ExchangeEnd.COMPLETE
         assert wire.body == b'part'
 
-    def test_is_cut_when_an_unframed_answer_is_reset(self) -> None:
-        """An answer without a length that is reset is not whole."""
+    def test_is_incomplete_when_an_unframed_response_is_reset(self) -> None:
+        """A reset does not complete a response without a length."""
         wire = Wire()
         wire.receive(UNFRAMED)
         wire.connection.connection_lost(ConnectionResetError())
         assert wire.only_end is ExchangeEnd.INCOMPLETE
 
-    def test_tells_a_close_before_any_answer(self) -> None:
-        """A kept connection that closes as the request comes says so."""
+    def test_reports_a_close_before_any_response(self) -> None:
+        """A reused connection may close while the request is on its way."""
         wire = Wire()
         wire.receive(COMPLETE)
         wire.send()
         wire.connection.connection_lost(None)
         assert wire.ends[-1][0] is ExchangeEnd.CLOSED
 
-    def test_doubts_a_fresh_connection_that_closes(self) -> None:
-        """A first request that meets a close may have been read."""
+    def test_is_incomplete_when_a_new_connection_closes(self) -> None:
+        """The server may have read the first request before it closed."""
         wire = Wire()
         wire.connection.connection_lost(None)
         assert wire.only_end is ExchangeEnd.INCOMPLETE
 
     def test_closes_when_cancelled(self) -> None:
-        """Giving an exchange up closes its connection."""
+        """Cancelling an exchange closes its connection."""
         wire = Wire()
         wire.connection.cancel()
         assert wire.only_end is ExchangeEnd.CANCELLED
         assert wire.transport.is_aborted
 
-    def test_waits_for_no_body_of_head(self) -> None:
-        """The answer to HEAD ends with its head."""
+    def test_expects_no_body_after_head(self) -> None:
+        """The response to HEAD ends with its headers."""
         wire = Wire(has_body=False)
         wire.receive(b'HTTP/1.1 200 OK\r\nX-Attempt: a1\r\n')
         wire.receive(b'Content-Length: 9\r\n\r\n')
         assert wire.only_end is ExchangeEnd.COMPLETE
 
-    def test_passes_over_interim_answers(self) -> None:
-        """A 100 is not the answer."""
+    def test_ignores_interim_responses(self) -> None:
+        """A response with status 100 does not end the exchange."""
         wire = Wire()
         wire.receive(b'HTTP/1.1 100 Continue\r\n\r\n')
         assert not wire.ends
@@ -167,12 +167,12 @@
         ('field', 'seconds'),
         [(b'timeout=7', 7), (b'timeout=3, max=9', 3), (b'max=9', None)],
     )
-    def test_learns_how_long_it_may_idle(
+    def test_reads_the_idle_limit(
         self,
         field: bytes,
         seconds: float | None,
     ) -> None:
-        """The target's word on idle connections is kept."""
+        """The timeout in ``Keep-Alive`` becomes the idle limit, in seconds."""
         wire = Wire()
         head, _, body = COMPLETE.partition(b'\r\n\r\n')
         wire.receive(head + b'\r\nKeep-Alive: ' + field + b'\r\n\r\n' + body)
--- a/tests/http1/test_pool.py
+++ b/tests/http1/test_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to one server."""
+"""A pool of persistent connections to one server."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -15,14 +15,14 @@
 
 HOST = own_host(108)
 PORT = 18321
-ANSWER = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
+RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
 
 
 class Server:
-    """Answers every request, once it may."""
+    """Responds to every request once ``may_respond`` is set."""
 
     def __init__(self) -> None:
-        self.may_answer = asyncio.Event()
+        self.may_respond = asyncio.Event()
         self.connections = 0
 
     async def serve(
@@ -32,19 +32,19 @@
     ) -> None:
         self.connections += 1
         while await reader.read(65536):
-            await self.may_answer.wait()
-            writer.write(ANSWER)
+            await self.may_respond.wait()
+            writer.write(RESPONSE)
 
 
 @asynccontextmanager
 async def pooled(
     max_connections: int = 5,
 ) -> AsyncIterator[tuple[Server, ConnectionPool]]:
-    side = Server()
-    server = await asyncio.start_server(side.serve, HOST, PORT)
+    handler = Server()
+    server = await asyncio.start_server(handler.serve, HOST, PORT)
     pool = ConnectionPool(HOST, PORT, max_connections)
     try:
-        yield side, pool
+        yield handler, pool
     finally:
         pool.close()
         server.close()
@@ -65,12 +65,12 @@
 
 
 class TestConnectionPool:
-    """Exchanges end exactly once, and connections are kept."""
+    """Exchanges end exactly once, and connections are reused."""
 
-    async def test_uses_a_connection_again(self) -> None:
-        """The second exchange goes over the connection of the first."""
+    async def test_reuses_a_connection(self) -> None:
+        """The second exchange uses the connection of the first."""
         async with pooled() as (server, pool):
-            server.may_answer.set()
+            server.may_respond.set()
             ends: list[ExchangeEnd] = []
             for count in (1, 2):
                 pool.send(exchange(ends))
@@ -89,9 +89,9 @@
             assert ends == [ExchangeEnd.CANCELLED]
 
     async def test_cancels_no_later_exchange(self) -> None:
-        """Cancelling what has ended leaves its connection alone."""
+        """Cancelling an ended exchange does not affect the next one."""
         async with pooled() as (server, pool):
-            server.may_answer.set()
+            server.may_respond.set()
             ends: list[ExchangeEnd] = []
             first = pool.send(exchange(ends))
             await until_ended(ends)
@@ -100,8 +100,8 @@
             await until_ended(ends, 2)
             assert ends == [ExchangeEnd.COMPLETE] * 2
 
-    async def test_is_unsent_without_room(self) -> None:
-        """Beyond the connections that the server bears nothing is sent."""
+    async def test_is_unsent_at_the_connection_limit(self) -> None:
+        """No request is sent when the pool has no connection left."""
         async with pooled(max_connections=1) as (_, pool):
             ends: list[ExchangeEnd] = []
             pool.send(exchange([]))
@@ -109,7 +109,7 @@
             assert ends == [ExchangeEnd.UNSENT]
 
     async def test_is_unsent_without_a_server(self) -> None:
-        """A server that does not listen gets nothing."""
+        """The exchange ends unsent if the server does not listen."""
         pool = ConnectionPool(HOST, PORT + 1, 1)
         ends: list[ExchangeEnd] = []
         pool.send(exchange(ends))
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -1,4 +1,4 @@
-"""The side that takes requests."""
+"""Server connections, with the requests of a client fed in."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 class Handler:
-    """Keeps requests and answers none of them by itself."""
+    """Records requests and responds to none of them."""
 
     def __init__(self) -> None:
         self.requests: list[Request] = []
@@ -38,10 +38,10 @@
 
 
 class TestServerConnection:
-    """One client connection."""
+    """Requests of one client connection, and when it is closed."""
 
-    def test_hands_over_whole_requests(self) -> None:
-        """A body that comes in parts is handed over whole."""
+    def test_delivers_complete_requests(self) -> None:
+        """A body received in parts is delivered complete."""
         handler, connection, _ = connect()
         connection.data_received(
             b'POST /p/x?q=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nab',
@@ -52,7 +52,7 @@
         assert handler.requests[0].target == b'/p/x?q=1'
 
     def test_joins_chunks(self) -> None:
-        """A chunked body is handed over without its framing."""
+        """A chunked body is delivered without its framing."""
         handler, connection, _ = connect()
         connection.data_received(
             b'POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n'
@@ -61,7 +61,7 @@
         assert handler.requests[0].body == b'abc'
 
     def test_serves_one_at_a_time(self) -> None:
-        """A pipelined request begins when the one before is answered."""
+        """A pipelined request starts after the response to the previous one."""
         handler, connection, transport = connect()
         connection.data_received(GET + GET)
         assert len(handler.requests) == 1
@@ -69,23 +69,23 @@
         assert len(handler.requests) == 2
         assert transport.written.count(b'HTTP/1.1 200 OK') == 1
 
-    def test_gives_up_when_the_client_leaves(self) -> None:
-        """The handler hears at once that a client has left."""
+    def test_abandons_the_request_of_a_client_that_left(self) -> None:
+        """The handler is called at once when the client disconnects."""
         handler, connection, _ = connect()
         connection.data_received(GET)
         connection.connection_lost(None)
         assert handler.abandoned_tokens == [1]
 
-    def test_answers_nobody_after_the_client_left(self) -> None:
-        """An answer for a client that has left goes nowhere."""
+    def test_sends_nothing_after_the_client_left(self) -> None:
+        """A response for a disconnected client is dropped."""
         _, connection, transport = connect()
         connection.data_received(GET)
         connection.connection_lost(None)
         assert not respond(connection)
         assert not transport.written
 
-    def test_refuses_what_is_no_request(self) -> None:
-        """Bytes that are no request get a 400 and an end."""
+    def test_refuses_a_malformed_request(self) -> None:
+        """A malformed request gets status 400 and a closed connection."""
         handler, connection, transport = connect()
         connection.data_received(b'\x00\x01garbage\r\n\r\n')
         assert transport.written.startswith(b'HTTP/1.1 400 ')
@@ -93,7 +93,7 @@
         assert not handler.requests
 
     def test_refuses_two_lengths(self) -> None:
-        """A request with a length and chunks could smuggle another."""
+        """Both a length and chunks would allow request smuggling."""
         handler, connection, transport = connect()
         connection.data_received(
             b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n'
@@ -103,13 +103,13 @@
         assert transport.is_closed
 
     def test_refuses_a_head_that_is_too_large(self) -> None:
-        """A head beyond its bound gets a 431."""
+        """A head beyond its limit gets status 431."""
         _, connection, transport = connect(ServerLimits(head_bytes=20))
         connection.data_received(b'GET /' + b'a' * 30 + b' HTTP/1.1\r\n\r\n')
         assert transport.written.startswith(b'HTTP/1.1 431 ')
 
     def test_refuses_a_body_that_is_too_large(self) -> None:
-        """A body beyond its bound gets a 413 and reaches no handler."""
+        """A body beyond its limit gets status 413 and reaches no handler."""
         handler, connection, transport = connect(ServerLimits(body_bytes=3))
         connection.data_received(
             b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 4\r\n\r\nabcd',
@@ -117,8 +117,8 @@
         assert transport.written.startswith(b'HTTP/1.1 413 ')
         assert not handler.requests
 
-    def test_tells_a_waiting_client_to_go_on(self) -> None:
-        """A client that waits with its body is told to send it."""
+    def test_sends_the_continue_response(self) -> None:
+        """A client that expects ``100 Continue`` receives it."""
         _, connection, transport = connect()
         connection.data_received(
             b'POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n'
@@ -127,7 +127,7 @@
         assert transport.written == b'HTTP/1.1 100 Continue\r\n\r\n'
 
     def test_announces_its_close(self) -> None:
-        """After a planned stop began an answer announces the close."""
+        """During a planned stop a response announces the close."""
         _, connection, transport = connect()
         connection.data_received(GET)
         connection.closes_next = True
@@ -136,21 +136,21 @@
         assert transport.is_closed
 
     def test_sends_no_body_for_head(self) -> None:
-        """The answer to HEAD tells a length and has no body."""
+        """The response to HEAD has a length and no body."""
         _, connection, transport = connect()
         connection.data_received(b'HEAD / HTTP/1.1\r\nHost: x\r\n\r\n')
         respond(connection, b'abc')
         assert b'content-length: 3\r\n' in transport.written
         assert transport.written.endswith(b'\r\n\r\n')
 
-    def test_closes_what_is_idle_for_too_long(self) -> None:
-        """A connection without a request is closed after its limit."""
+    def test_closes_after_the_idle_limit(self) -> None:
+        """A connection without a request is closed after the idle limit."""
         _, connection, transport = connect(ServerLimits(idle_seconds=5))
         connection.close_if_due(1e9)
         assert transport.is_closed
 
     def test_keeps_a_connection_with_a_request(self) -> None:
-        """A request in progress keeps its connection, however long."""
+        """A request in progress keeps its connection open."""
         _, connection, transport = connect()
         connection.data_received(GET)
         connection.close_if_due(1e9)
--- a/tests/http1/wire.py
+++ b/tests/http1/wire.py
@@ -1,14 +1,13 @@
-"""A transport that keeps what is written, for protocols without sockets."""
+"""A fake transport, for testing protocols without sockets."""
 
 from asyncio import Transport
 from typing import Any
 
 
 class FakeTransport(Transport):
-    """Records bytes and the end of a connection."""
+    """Records the written bytes and whether it was closed or paused."""
 
     def __init__(self, peer: tuple[str, int] = ('10.0.0.9', 1234)) -> None:
-        """Begin open, with a peer."""
         super().__init__()
         self.written = b''
         self.is_closed = False
@@ -17,26 +16,26 @@
         self._peer = peer
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Tell the peer's address."""
+        """Return the peer's address for ``peername``."""
         return self._peer if name == 'peername' else default
 
     def write(self, data: bytes) -> None:  # type: ignore[override]
-        """Keep the bytes."""
+        """Record the bytes."""
         self.written += data
 
     def close(self) -> None:
-        """Note the end."""
+        """Record the close."""
         self.is_closed = True
 
     def abort(self) -> None:
-        """Note the end without a flush."""
+        """Record a close without flushing."""
         self.is_closed = True
         self.is_aborted = True
 
     def pause_reading(self) -> None:
-        """Note that reading stopped."""
+        """Record that reading is paused."""
         self.is_paused = True
 
     def resume_reading(self) -> None:
-        """Note that reading goes on."""
+        """Record that reading is resumed."""
         self.is_paused = False
