--- a/tests/platform/test_configuration.py
+++ b/tests/platform/test_configuration.py
@@ -1,4 +1,4 @@
-"""Decoding the operators' configuration."""
+"""Decoding the configuration that operators publish."""
 
 from typing import Any
 
@@ -37,10 +37,10 @@
 
 
 class TestDecodeConfiguration:
-    """Words of the wire become the product's own."""
+    """The published fields become routes and limits."""
 
     def test_reads_every_field(self) -> None:
-        """A route says where requests go and what may be done with them."""
+        """Routes, limits and the version are read."""
         configuration = decoded()
         route = configuration.routes[0]
         assert configuration.version == 12
@@ -52,7 +52,7 @@
         assert configuration.idle_seconds == 15
 
     def test_reads_a_split(self) -> None:
-        """A split keeps its services and weights."""
+        """A traffic split keeps its services and weights."""
         parts = [
             {'service': 's1', 'weight': 90},
             {'service': 's2', 'weight': 10},
@@ -64,8 +64,8 @@
             ('s2', 10),
         ]
 
-    def test_takes_other_types_for_unrepeatable(self) -> None:
-        """What is not said to be idempotent runs at most once."""
+    def test_treats_other_types_as_unrepeatable(self) -> None:
+        """Only routes declared idempotent may run more than once."""
         assert not decoded(route_type='non_idempotent').routes[0].is_repeatable
         assert not decoded(route_type='new').routes[0].is_repeatable
 
@@ -73,12 +73,12 @@
         'raw',
         [b'', b'[]', b'{}', b'{"version": "x"}', b'\xff'],
     )
-    def test_refuses_what_is_none(self, raw: bytes) -> None:
-        """A value that is no configuration raises the documented error."""
+    def test_refuses_malformed_values(self, raw: bytes) -> None:
+        """A malformed value raises ``MalformedRulesError``."""
         with pytest.raises(MalformedRulesError):
             decode_configuration(raw)
 
-    def test_refuses_half_a_route(self) -> None:
-        """One bad route refuses the whole, so that none is half in force."""
+    def test_refuses_an_incomplete_route(self) -> None:
+        """One bad route rejects all, so that no part comes into force."""
         with pytest.raises(MalformedRulesError):
             decoded(action={'service': 's1'})
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,4 +1,4 @@
-"""Decoding the targets' own entries."""
+"""Decoding the entries that targets publish about themselves."""
 
 from typing import Any
 
@@ -26,10 +26,10 @@
 
 
 class TestDecodeEntry:
-    """One entry becomes one target, or none."""
+    """Reading valid entries and refusing malformed ones."""
 
     def test_reads_every_field(self) -> None:
-        """An entry says where its target listens and what it bears."""
+        """The address, failure domain, slots and start time are read."""
         entry = decoded()
         assert (entry.target_id, entry.service) == ('i-1', 's')
         assert (entry.host, entry.port) == ('10.0.0.1', 80)
@@ -54,13 +54,13 @@
             ('seq', None),
         ],
     )
-    def test_refuses_other_types(self, field: str, text: object) -> None:
-        """An entry with a field of another type names no target."""
+    def test_refuses_invalid_fields(self, field: str, text: object) -> None:
+        """An entry with a field of a wrong type or value is refused."""
         with pytest.raises(ValueError, match=r'.+'):
             decoded(**{field: text})
 
     @given(st.binary(max_size=60))
-    def test_raises_nothing_else(self, garbage: bytes) -> None:
-        """Bytes that are no entry raise the one documented error."""
+    def test_raises_only_the_documented_error(self, garbage: bytes) -> None:
+        """Random bytes raise ``ValueError``."""
         with pytest.raises(ValueError, match=r'.*'):
             decode_entry('i-1', garbage)
--- a/tests/platform/test_follow.py
+++ b/tests/platform/test_follow.py
@@ -1,4 +1,4 @@
-"""Following the store through its troubles."""
+"""Following the store through changes, errors and outages."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -16,8 +16,8 @@
 from tests.platform.test_entries import ENTRY
 
 
-class FakeKnowledge:
-    """Keeps what a follower tells."""
+class FakeFleetState:
+    """Records the updates of a follower."""
 
     def __init__(self) -> None:
         self.versions: list[int] = []
@@ -48,14 +48,14 @@
 @asynccontextmanager
 async def following(
     page: int = 500,
-) -> AsyncIterator[tuple[StoreStandIn, FakeKnowledge]]:
+) -> AsyncIterator[tuple[StoreStandIn, FakeFleetState]]:
     """Follow a store with one configuration and two targets."""
     store = StoreStandIn(page=page)
     await store.open()
     store.put('op/config', configuration(3))
     store.put('servers/i-1', entry())
     store.put('servers/i-2', entry())
-    fleet_state = FakeKnowledge()
+    fleet_state = FakeFleetState()
     client = StoreClient(store.host, store.port)
     follower = Follower(client, fleet_state)  # type: ignore[arg-type]
     tasks = [
@@ -78,24 +78,24 @@
 
 
 class TestFollower:
-    """What is published arrives, and nothing is forgotten by silence."""
+    """Changes are applied; errors of the store remove no target."""
 
     async def test_reads_all_pages(self) -> None:
-        """A list that comes in pages is read to its end."""
+        """A list in several pages is read to its end."""
         async with following(page=1) as (_, fleet_state):
             assert fleet_state.versions == [3]
             assert fleet_state.revision > 0
 
-    async def test_takes_changes_at_once(self) -> None:
-        """A new configuration and a leaving target are told in a moment."""
+    async def test_applies_changes_at_once(self) -> None:
+        """A new configuration and a removed target apply within 1 s."""
         async with following() as (store, fleet_state):
             store.put('op/config', configuration(4))
             store.remove('servers/i-1')
             await until(lambda: fleet_state.ids == {'i-2'}, 1)
             await until(lambda: fleet_state.versions[-1] == 4, 1)
 
-    async def test_costs_few_calls_in_a_storm(self) -> None:
-        """Changes in quick succession are taken together."""
+    async def test_batches_changes(self) -> None:
+        """Changes in quick succession cost few calls to the store."""
         async with following() as (store, fleet_state):
             before = store.calls
             for version in range(4, 24):
@@ -104,8 +104,8 @@
             await until(lambda: fleet_state.versions[-1] == 23)
             assert store.calls - before < 10
 
-    async def test_reads_anew_when_history_is_lost(self) -> None:
-        """After a 410 the whole list is read, and what left is gone."""
+    async def test_rereads_everything_when_history_is_lost(self) -> None:
+        """After status 410 the complete list replaces the targets."""
         async with following() as (store, fleet_state):
             store.forgotten = store.revision + 10
             store.remove('servers/i-2')
@@ -113,11 +113,11 @@
             await until(lambda: fleet_state.ids == {'i-1', 'i-3'})
 
     @pytest.mark.parametrize('status', [503, 429])
-    async def test_forgets_nothing_when_the_store_refuses(
+    async def test_keeps_targets_when_the_store_fails(
         self,
         status: int,
     ) -> None:
-        """A store that answers 503 or 429 empties no list."""
+        """Status 503 or 429 removes no target."""
         async with following() as (store, fleet_state):
             store.status = status
             store.put('op/config', configuration(3))
@@ -126,15 +126,15 @@
             store.status = None
             await until(lambda: not fleet_state.is_platform_unreachable)
 
-    async def test_notices_a_silent_connection(self) -> None:
-        """A watch that is never answered is given up within its time."""
+    async def test_detects_a_silent_connection(self) -> None:
+        """A watch without a response times out and removes no target."""
         async with following() as (store, fleet_state):
             store.is_silent = True
             await until(lambda: fleet_state.is_platform_unreachable, 8)
             assert fleet_state.ids == {'i-1', 'i-2'}
 
-    async def test_keeps_a_target_that_lapsed_in_an_outage(self) -> None:
-        """A target that is missing after an outage has time to return."""
+    async def test_keeps_a_target_that_expired_in_an_outage(self) -> None:
+        """A target missing after an outage is kept for a grace period."""
         async with following() as (store, fleet_state):
             store.status = 503
             store.remove('servers/i-1')
@@ -144,8 +144,8 @@
             assert 'i-1' in fleet_state.ids
             await until(lambda: fleet_state.ids == {'i-2'})
 
-    async def test_passes_over_entries_that_name_no_target(self) -> None:
-        """Another writer's entry hides none of the others."""
+    async def test_ignores_malformed_entries(self) -> None:
+        """A malformed entry does not affect the other targets."""
         async with following() as (store, fleet_state):
             store.put('servers/i-9', b'\x00nonsense')
             store.put('servers/i-8', entry(slots='many'))
@@ -153,8 +153,8 @@
             await until(lambda: 'i-3' in fleet_state.ids)
             assert fleet_state.ids == {'i-1', 'i-2', 'i-3'}
 
-    async def test_keeps_the_configuration_that_it_has(self) -> None:
-        """A value that is no configuration, or none, changes nothing."""
+    async def test_keeps_the_last_valid_configuration(self) -> None:
+        """A malformed or removed configuration changes nothing."""
         async with following() as (store, fleet_state):
             store.put('op/config', b'{}')
             store.remove('op/config')
--- a/tests/platform/test_words.py
+++ b/tests/platform/test_words.py
@@ -1,11 +1,11 @@
-"""The platform's header fields."""
+"""The names and formats of the platform's header fields."""
 
 import pytest
-from adapter.words import DIALECT, read_load
+from adapter.headers import HEADER_NAMES, read_load
 
 
 class TestReadLoad:
-    """A target's load as it tells it."""
+    """Decoding the load header of a target."""
 
     def test_reads_three_numbers(self) -> None:
         """Running calls and slots are read; the middle one is not used."""
@@ -14,15 +14,19 @@
         assert (reported.running, reported.slots) == (3, 8)
 
     @pytest.mark.parametrize('text', [b'', b'3,1', b'3,1,x', b'-1,0,8'])
-    def test_reads_nothing_else(self, text: bytes) -> None:
-        """Other text tells nothing."""
+    def test_refuses_malformed_text(self, text: bytes) -> None:
+        """Malformed text is decoded as ``None``."""
         assert read_load(text) is None
 
 
-class TestDialect:
-    """Names in lower case, as the transport compares them."""
+class TestHeaderNames:
+    """The transport compares names in lower case."""
 
     def test_is_in_lower_case(self) -> None:
-        """A name in another case would never be found."""
-        names = [DIALECT.attempt_id, DIALECT.proof, *DIALECT.overwritten]
+        """A name with an upper-case letter would never match."""
+        names = [
+            HEADER_NAMES.attempt_id,
+            HEADER_NAMES.proof,
+            *HEADER_NAMES.overwritten,
+        ]
         assert all(name == name.lower() for name in names)
