--- a/src/lovageshunt/http1/__init__.py
+++ b/src/lovageshunt/http1/__init__.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 on asyncio transports, parsed by a library.
+"""HTTP/1.1 client and server on asyncio transports, parsed by httptools.
 
-It carries the requests of a sidecar: whole messages only, one at a time on a
-connection, with no task of its own for each of them.
+It serves the sidecar: messages are complete before they are handed over, a
+connection processes one request at a time, and no task is started per request.
 """
 
 from lovageshunt.http1._client import ClientConnection, Exchange
@@ -15,7 +15,7 @@
     first_header,
     forwarded_fields,
 )
-from lovageshunt.http1._pool import ConnectionPool, Sending
+from lovageshunt.http1._pool import ConnectionPool, PendingExchange
 from lovageshunt.http1._server import RequestHandler, ServerConnection
 
 __all__ = [
@@ -26,7 +26,7 @@
     'Request',
     'RequestHandler',
     'Response',
-    'Sending',
+    'PendingExchange',
     'ServerConnection',
     'ServerLimits',
     'encode_request',
--- a/src/lovageshunt/links/__init__.py
+++ b/src/lovageshunt/links/__init__.py
@@ -1,6 +1,6 @@
-"""Kept connections between nodes, each carrying many calls at a time."""
+"""Persistent connections between nodes; each multiplexes many calls."""
 
-from lovageshunt.links._codec import decode_needs, encode_message
+from lovageshunt.links._codec import decode_demand, encode_message
 from lovageshunt.links._dialer import Dialer, LinkListener
 from lovageshunt.links._frames import (
     Frame,
@@ -14,13 +14,13 @@
     encode_load,
     encode_order,
 )
-from lovageshunt.links._incoming import IncomingLink, OrderBook, OrderHandler
+from lovageshunt.links._incoming import IncomingLink, OrderHandler, RecentOrders
 from lovageshunt.links._messages import (
+    DemandReport,
     Greeting,
-    LoadNews,
-    NeedsNews,
     RunAnswer,
     RunOrder,
+    TargetLoadReport,
 )
 
 __all__ = [
@@ -31,15 +31,15 @@
     'Greeting',
     'IncomingLink',
     'LinkListener',
-    'LoadNews',
-    'NeedsNews',
-    'OrderBook',
+    'TargetLoadReport',
+    'DemandReport',
+    'RecentOrders',
     'OrderHandler',
     'RunAnswer',
     'RunOrder',
     'decode_answer',
     'decode_load',
-    'decode_needs',
+    'decode_demand',
     'decode_order',
     'encode_answer',
     'encode_frame',
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -120,7 +120,7 @@
         self._published = (target_id, slots)
         self._handle(LoadReported(running=0, slots=slots))
 
-    def ordered(self, order: RunOrder, ended: EndedCallback) -> Run:
+    def submit(self, order: RunOrder, ended: EndedCallback) -> Run:
         """Queue an order; call ``ended`` once, unless it is abandoned."""
         self._next_number += 1
         run = Run(str(self._next_number), order, ended)
@@ -141,7 +141,7 @@
         )
         return run
 
-    def abandoned(self, run: Run) -> None:
+    def abandon(self, run: Run) -> None:
         """Cancel an order, except a non-repeatable one that is running."""
         if run.ended is None:
             return
--- a/src/lovageshunt/sidecar/_node_links.py
+++ b/src/lovageshunt/sidecar/_node_links.py
@@ -11,10 +11,10 @@
     Greeting,
     IncomingLink,
     LinkListener,
-    OrderBook,
     OrderHandler,
+    RecentOrders,
+    decode_demand,
     decode_load,
-    decode_needs,
 )
 from lovageshunt.sidecar._fleet import Fleet
 from lovageshunt.sidecar._knowledge import FleetState
@@ -46,17 +46,19 @@
     def on_incoming(self, link: IncomingLink, frame: Frame) -> None:
         """Handle a frame on a link that the other node opened."""
         if frame.kind == FrameKind.GREETING and link.peer is not None:
-            self._request(link.peer.revision, link.peer.version, link.tell)
+            self._request(
+                link.peer.revision, link.peer.version, link.send_frame
+            )
         else:
-            self._on_snapshot(frame, link.tell)
+            self._on_snapshot(frame, link.send_frame)
 
     def on_dialed(self, host: str, frame: Frame) -> None:
         """Handle a frame on a link that this node opened."""
-        reply = self._fleet.dialer(host).tell
+        reply = self._fleet.dialer(host).send_frame
         if frame.kind == FrameKind.LOAD:
             self._reports.handle_load(decode_load(frame.payload))
-        elif frame.kind == FrameKind.NEEDS:
-            report = decode_needs(frame.payload)
+        elif frame.kind == FrameKind.DEMAND:
+            report = decode_demand(frame.payload)
             self._reports.handle_demand(report)
             self._request(report.revision, report.version, reply)
         elif frame.kind == FrameKind.LEAVING:
@@ -68,20 +70,20 @@
         """Note an established link; request newer state from its node."""
         _log.info('link established', extra={'peer': greeting.node})
         self._fleet.note_connected(host)
-        reply = self._fleet.dialer(host).tell
+        reply = self._fleet.dialer(host).send_frame
         self._request(greeting.revision, greeting.version, reply)
 
     def _request(self, revision: int, version: int, reply: Reply) -> None:
         if self._fleet_state.should_request(revision, version):
-            reply(FrameKind.PICTURE_WANTED, b'')
+            reply(FrameKind.SNAPSHOT_REQUEST, b'')
 
     def _on_snapshot(self, frame: Frame, reply: Reply) -> None:
         """Apply or send a snapshot; ignore frames of unknown kinds."""
-        if frame.kind == FrameKind.PICTURE:
+        if frame.kind == FrameKind.SNAPSHOT:
             self._fleet_state.apply_snapshot(decode_snapshot(frame.payload))
-        elif frame.kind == FrameKind.PICTURE_WANTED:
+        elif frame.kind == FrameKind.SNAPSHOT_REQUEST:
             reply(
-                FrameKind.PICTURE,
+                FrameKind.SNAPSHOT,
                 encode_snapshot(self._fleet_state.snapshot()),
             )
 
@@ -97,7 +99,7 @@
         '_port',
         '_greeting',
         '_numbers',
-        '_book',
+        '_recent_orders',
         '_incoming',
         'frame_handler',
     )
@@ -106,7 +108,7 @@
         self._port = port
         self._greeting = greeting
         self._numbers = count(1)
-        self._book = OrderBook()
+        self._recent_orders = RecentOrders()
         self._incoming: set[IncomingLink] = set()
         self.frame_handler: FrameHandler | None = None
 
@@ -117,8 +119,8 @@
             self._port,
             greeting=self._greeting,
             listener=LinkListener(
-                heard=self._on_dialed,
-                greeted=self._on_greeted,
+                on_frame=self._on_dialed,
+                on_greeting=self._on_greeted,
             ),
             numbers=self._numbers,
         )
@@ -127,16 +129,16 @@
         """Return the protocol for a link that another node opens."""
         return IncomingLink(
             handler=handler,
-            book=self._book,
+            recent_orders=self._recent_orders,
             greeting=self._greeting,
             open_links=self._incoming,
-            heard=self._on_incoming,
+            on_frame=self._on_incoming,
         )
 
     def broadcast(self, kind: FrameKind, payload: bytes) -> None:
         """Send a frame to every node that has a link to this one."""
         for link in self._incoming:
-            link.tell(kind, payload)
+            link.send_frame(kind, payload)
 
     def close_incoming(self) -> None:
         """Close the links from other nodes, which then reconnect."""
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -95,7 +95,7 @@
         """Route further requests by this configuration."""
         self._table = RouteTable.of(configuration)
 
-    def started(
+    def handle(
         self,
         request: Request,
         connection: ServerConnection,
@@ -141,7 +141,7 @@
         self._start_attempt(call, route, entry)
         return call
 
-    def abandoned(self, call: OriginCall) -> None:
+    def abandon(self, call: OriginCall) -> None:
         """Cancel a request whose client disconnected."""
         if call.is_over:
             return
@@ -238,8 +238,8 @@
         ended = partial(self._on_ended, call, attempt)
         host = attempt.entry.host
         if host == self._own_host:
-            run = self._executor.ordered(order, ended)
-            attempt.cancel = partial(self._executor.abandoned, run)
+            run = self._executor.submit(order, ended)
+            attempt.cancel = partial(self._executor.abandon, run)
             return
         dialer = self._fleet.dialer(host)
         stream = dialer.send(order, ended)
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -7,9 +7,9 @@
 
 from lovageshunt.clock import now as clock_now
 from lovageshunt.links import (
+    DemandReport,
     FrameKind,
-    LoadNews,
-    NeedsNews,
+    TargetLoadReport,
     encode_load,
     encode_message,
 )
@@ -108,7 +108,7 @@
         self._load_reported_at = float('-inf')
         self._demand_reported_at = float('-inf')
 
-    def handle_load(self, report: LoadNews) -> None:
+    def handle_load(self, report: TargetLoadReport) -> None:
         """Record a target's load; ignore a target that is not listed."""
         entry = self._fleet.record_load(report)
         if entry is None:
@@ -125,7 +125,7 @@
             clock_now(),
         )
 
-    def handle_demand(self, report: NeedsNews) -> None:
+    def handle_demand(self, report: DemandReport) -> None:
         """Record a node's arrivals and retries, and what its runs cost."""
         self.internal_calls.learn(
             report.service,
@@ -190,7 +190,7 @@
         self._reported_share = share
         self._reported_accepted = accepted
         self._load_reported_at = now
-        report = LoadNews(
+        report = TargetLoadReport(
             target_id=entry.target_id,
             load=load,
             share=share,
@@ -225,7 +225,7 @@
             seconds_by_kind = dict(self._executor.demand.seconds_by_kind)
             calls_by_kind_by_kind = self._graph.calls_by_kind()
         own = self._fleet_state.greeting
-        report = NeedsNews(
+        report = DemandReport(
             node=own.node,
             service=own.service,
             seconds=min(seconds, _DEMAND_INTERVAL_SECONDS * 2),
@@ -238,7 +238,7 @@
         )
         self.handle_demand(report)
         _log.debug('reporting demand', extra={'needs': report.as_dict()})
-        self._broadcast(FrameKind.NEEDS, encode_message(report))
+        self._broadcast(FrameKind.DEMAND, encode_message(report))
 
     def _drain_arrivals(self) -> dict[str, int]:
         arrived_by_kind = self._arrived_by_kind
--- a/src/lovageshunt/sidecar/_sidecar.py
+++ b/src/lovageshunt/sidecar/_sidecar.py
@@ -285,7 +285,7 @@
         limits.idle_seconds = configuration.idle_seconds
         own = configuration.limits_by_service.get(self._settings.node.service)
         if own is not None:
-            self._executor.pool.most = own.connections
+            self._executor.pool.max_connections = own.connections
 
     def _on_targets(self) -> None:
         """Apply the node count and the own target's published slots."""
@@ -327,10 +327,10 @@
     def __init__(self, sidecar: Sidecar) -> None:
         self._sidecar = sidecar
 
-    def started(self, request: Request, connection: ServerConnection) -> None:
+    def handle(self, request: Request, connection: ServerConnection) -> None:
         """Respond at once."""
         status = _READY if self._sidecar.is_ready else _NOT_READY
         connection.respond(status=status, fields=b'', body=b'')
 
-    def abandoned(self, token: None) -> None:
-        """Do nothing: every request is complete when ``started`` returns."""
+    def abandon(self, token: None) -> None:
+        """Do nothing: every request is complete when ``handle`` returns."""
--- a/tests/sidecar/test_origin.py
+++ b/tests/sidecar/test_origin.py
@@ -31,11 +31,11 @@
     def repeat_share(self) -> float:
         return self.share
 
-    def ordered(self, order: RunOrder, ended: EndedCallback) -> None:  # type: ignore[override]
+    def submit(self, order: RunOrder, ended: EndedCallback) -> None:  # type: ignore[override]
         self.orders.append(order)
         self.ended.append(ended)
 
-    def abandoned(self, run: object) -> None:
+    def abandon(self, run: object) -> None:
         """Do nothing."""
 
 
@@ -119,7 +119,7 @@
             body=b'',
             keeps_alive=True,
         )
-        self.origin.started(request, self.connection)
+        self.origin.handle(request, self.connection)
 
     def fail_last(self) -> None:
         """End the last order with an unknown outcome."""
