--- a/bench/_protected.py
+++ b/bench/_protected.py
@@ -13,6 +13,7 @@
     Action,
     Admission,
     AdmissionSettings,
+    AdmissionTicked,
     Arrived,
     CallerThresholds,
     Cancelled,
@@ -20,7 +21,6 @@
     Event,
     Finished,
     Refuse,
-    Ticked,
 )
 from lovageshunt.calls import AnswerInfo, Outcome, RefusalReason
 
@@ -88,7 +88,7 @@
         self._handle(Cancelled(call.call_id))
 
     def _tick(self) -> None:
-        self._handle(Ticked())
+        self._handle(AdmissionTicked())
         loop = self.network.loop
         loop.at(
             max(self.admission.next_wake(loop.now), loop.now + 0.001),
--- a/bench/run_once/_timed.py
+++ b/bench/run_once/_timed.py
@@ -14,7 +14,7 @@
     RequestMessage,
 )
 from lovageshunt.calls import Outcome
-from lovageshunt.idempotency import Event, Ticked
+from lovageshunt.idempotency import Event, RunOnceTicked
 
 _HOP_SECONDS: Final = 0.001
 _JITTER_SECONDS: Final = 0.0005
@@ -90,5 +90,5 @@
     def _tick(self) -> None:
         for machine in tuple(self.by_name.values()):
             if machine.frozen_at is None:
-                self.tell(machine, Ticked())
+                self.tell(machine, RunOnceTicked())
         self.after(_TICK_SECONDS, self._tick)
--- a/src/lovageshunt/admission/__init__.py
+++ b/src/lovageshunt/admission/__init__.py
@@ -5,6 +5,7 @@
 from lovageshunt.admission._events import (
     Abort,
     Action,
+    AdmissionTicked,
     Arrived,
     Cancelled,
     Dispatch,
@@ -13,7 +14,6 @@
     Finished,
     LoadReported,
     Refuse,
-    Ticked,
 )
 from lovageshunt.admission._levels import OPEN_THRESHOLD, is_refused
 from lovageshunt.admission._settings import AdmissionSettings, CallerSettings
@@ -36,6 +36,6 @@
     'LoadReported',
     'Refuse',
     'TargetQueue',
-    'Ticked',
+    'AdmissionTicked',
     'is_refused',
 ]
--- a/src/lovageshunt/admission/_admission.py
+++ b/src/lovageshunt/admission/_admission.py
@@ -78,7 +78,7 @@
         )
 
     def next_wake(self, now: float) -> float:
-        """Return the time by which ``Ticked`` is due."""
+        """Return the time by which ``AdmissionTicked`` is due."""
         due = max(now, self._control.window_ends_at)
         if self._deadlines:
             due = min(due, max(now, self._deadlines[0][0]))
--- a/src/lovageshunt/admission/_events.py
+++ b/src/lovageshunt/admission/_events.py
@@ -68,7 +68,7 @@
     __slots__ = ()
 
 
-class Ticked(Record):
+class AdmissionTicked(Record):
     """Time has passed; deadlines and the control window are checked."""
 
     __slots__ = ()
@@ -131,6 +131,11 @@
 
 
 Event: TypeAlias = (
-    Arrived | Finished | Cancelled | Ticked | LoadReported | DrainStarted
+    Arrived
+    | Finished
+    | Cancelled
+    | AdmissionTicked
+    | LoadReported
+    | DrainStarted
 )
 Action: TypeAlias = Dispatch | Refuse | Abort
--- a/src/lovageshunt/admission/_target_queue.py
+++ b/src/lovageshunt/admission/_target_queue.py
@@ -94,7 +94,7 @@
         )
 
     def next_wake(self) -> float | None:
-        """Return the time by which ``Ticked`` is due, if any."""
+        """Return the time by which ``AdmissionTicked`` is due, if any."""
         return self._queue_deadlines[0][0] if self._queue_deadlines else None
 
     def handle(self, event: Event, now: float) -> list[Action]:
@@ -113,7 +113,7 @@
     def _handle_event(
         self, event: Event, actions: list[Action], now: float
     ) -> None:
-        """Ignore an event that has no handler of its own, as ``Ticked``."""
+        """Ignore an event without a handler, such as ``AdmissionTicked``."""
 
     @_handle_event.register
     def _on_arrived(
--- a/src/lovageshunt/idempotency/__init__.py
+++ b/src/lovageshunt/idempotency/__init__.py
@@ -27,8 +27,8 @@
     RedirectFailed,
     Refused,
     Resumed,
+    RunOnceTicked,
     Settled,
-    Ticked,
     WaiterCancelled,
 )
 from lovageshunt.idempotency._numbering import next_attempt_number
@@ -75,7 +75,7 @@
     'RunOnceSettings',
     'Settled',
     'StoredAnswer',
-    'Ticked',
+    'RunOnceTicked',
     'Wait',
     'WaiterCancelled',
     'Resumed',
--- a/src/lovageshunt/idempotency/_events.py
+++ b/src/lovageshunt/idempotency/_events.py
@@ -183,7 +183,7 @@
     __slots__ = ()
 
 
-class Ticked(Record):
+class RunOnceTicked(Record):
     """A periodic tick, sent several times per ``inquiry_seconds``."""
 
     __slots__ = ()
@@ -239,5 +239,5 @@
 _PeerEvent = (
     InquiryReceived | InquiryAnswered | InquiryFailed | HandOverReceived
 )
-_NodeEvent = Settled | Ticked | Resumed | Leaving | Drained
+_NodeEvent = Settled | RunOnceTicked | Resumed | Leaving | Drained
 Event = _CallEvent | _PeerEvent | _NodeEvent
--- a/src/lovageshunt/idempotency/_inquiring.py
+++ b/src/lovageshunt/idempotency/_inquiring.py
@@ -16,8 +16,8 @@
     InquiryFailed,
     InquiryReceived,
     Resumed,
+    RunOnceTicked,
     Settled,
-    Ticked,
 )
 from lovageshunt.idempotency._records import (
     Claim,
@@ -161,7 +161,9 @@
 
 
 @decide.register
-def _on_ticked(event: Ticked, state: NodeState, now: float) -> list[Action]:
+def _on_ticked(
+    event: RunOnceTicked, state: NodeState, now: float
+) -> list[Action]:
     state.expire(now)
     actions: list[Action] = []
     for entry in list(state.inquiring.values()):
--- a/src/lovageshunt/node/gate/_events.py
+++ b/src/lovageshunt/node/gate/_events.py
@@ -5,19 +5,19 @@
 
 from lovageshunt._record import Record
 from lovageshunt.admission import (
+    AdmissionTicked,
     Cancelled,
     DrainStarted,
     Finished,
     LoadReported,
 )
-from lovageshunt.admission import Ticked as AdmissionTicked
 from lovageshunt.calls import Outcome, RefusalReason
 from lovageshunt.idempotency import (
     AttemptReceived,
     Completed,
     Ending,
     Leaving,
-    Ticked,
+    RunOnceTicked,
     WaiterCancelled,
 )
 from lovageshunt.node.gate._actions import enter, follow
@@ -143,7 +143,7 @@
     out: list[Record],
 ) -> None:
     follow(state.admission.handle(AdmissionTicked(), now), state, now, out)
-    follow(state.run_once.handle(Ticked(), now), state, now, out)
+    follow(state.run_once.handle(RunOnceTicked(), now), state, now, out)
 
 
 @take.register
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -8,6 +8,7 @@
 from lovageshunt.admission import (
     Abort,
     Action,
+    AdmissionTicked,
     Arrived,
     Cancelled,
     Dispatch,
@@ -17,7 +18,6 @@
     LoadReported,
     Refuse,
     TargetQueue,
-    Ticked,
 )
 from lovageshunt.calls import Outcome, RefusalReason, level_of
 from lovageshunt.clock import now as clock_now
@@ -184,7 +184,7 @@
 
     def _on_tick(self) -> None:
         self._tick = None
-        self._handle(Ticked())
+        self._handle(AdmissionTicked())
 
     @singledispatchmethod
     def _perform(self, action: Action) -> None:
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -17,13 +17,13 @@
     Abort,
     Admission,
     AdmissionSettings,
+    AdmissionTicked,
     Arrived,
     Cancelled,
     Dispatch,
     DrainStarted,
     Finished,
     Refuse,
-    Ticked,
     is_refused,
 )
 from lovageshunt.calls import RANK_COUNT, RefusalReason
@@ -100,7 +100,7 @@
     @rule(seconds=st.sampled_from((0.001, 0.05, 0.1, 0.5, 3)))
     def wait(self, seconds):
         self.pass_time(seconds)
-        self.send(Ticked())
+        self.send(AdmissionTicked())
 
     @rule()
     def drain(self):
@@ -242,7 +242,7 @@
         arrive(admission, 'a', 0, seconds=100)
         admission.handle(DrainStarted(), 0)
 
-        assert admission.handle(Ticked(), 5) == [Abort('a')]
+        assert admission.handle(AdmissionTicked(), 5) == [Abort('a')]
 
 
 class TestOverload:
@@ -251,7 +251,7 @@
     def test_idle_target_refuses_nothing(self):
         """The threshold of an idle target is above every level."""
         admission = Admission(AdmissionSettings(slots=1), 0)
-        admission.handle(Ticked(), 1)
+        admission.handle(AdmissionTicked(), 1)
 
         assert admission.threshold == OPEN_THRESHOLD
 
--- a/tests/admission/test_target_queue.py
+++ b/tests/admission/test_target_queue.py
@@ -4,6 +4,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from lovageshunt.admission import (
+    AdmissionTicked,
     Arrived,
     Cancelled,
     Dispatch,
@@ -12,7 +13,6 @@
     LoadReported,
     Refuse,
     TargetQueue,
-    Ticked,
 )
 from lovageshunt.calls import RefusalReason, level_of
 
@@ -81,7 +81,7 @@
         """A call that waits until its deadline is refused for it."""
         queue = full_queue()
         queue.handle(arrived('a', deadline=1), 0)
-        actions = queue.handle(Ticked(), 1.1)
+        actions = queue.handle(AdmissionTicked(), 1.1)
         assert isinstance(actions[0], Refuse)
         assert actions[0].reason is RefusalReason.DEADLINE
 
@@ -156,7 +156,7 @@
     @rule(seconds=st.floats(0, 1))
     def wait(self, seconds: float) -> None:
         self.now += seconds
-        self.handle(Ticked())
+        self.handle(AdmissionTicked())
 
     @rule()
     def cancel(self) -> None:
--- a/tests/idempotency/test_arriving.py
+++ b/tests/idempotency/test_arriving.py
@@ -15,7 +15,7 @@
     Replay,
     Resumed,
     Run,
-    Ticked,
+    RunOnceTicked,
     Wait,
     WaiterCancelled,
 )
@@ -187,7 +187,7 @@
         """Nodes that did not answer in time count as failed."""
         node.handle(requested('x', 2), NOW)
 
-        answer = only(node.handle(Ticked(), NOW + 1))
+        answer = only(node.handle(RunOnceTicked(), NOW + 1))
 
         assert isinstance(answer, AnswerUnknown)
 
@@ -284,7 +284,7 @@
     def test_next_resend_starts_a_new_inquiry(self, node):
         """The nodes that did not answer before may answer now."""
         node.handle(requested('x', 2), NOW)
-        node.handle(Ticked(), NOW + 1)
+        node.handle(RunOnceTicked(), NOW + 1)
 
         _, *asked = node.handle(requested('y', 3), NOW + 1)
 
@@ -293,7 +293,7 @@
     def test_old_resend_is_not_asked_about(self, node):
         """The entries at other nodes may have expired by then."""
         node.handle(requested('x', 2, age_ms=800_000), NOW)
-        node.handle(Ticked(), NOW + 1)
+        node.handle(RunOnceTicked(), NOW + 1)
         later = requested('y', 3, age_ms=901_000)
 
         answer = only(node.handle(later, NOW + 101))
--- a/tests/idempotency/test_fleet.py
+++ b/tests/idempotency/test_fleet.py
@@ -6,7 +6,7 @@
 
 from bench.run_once import Caller, CallerKind, Fleet, make_node
 from lovageshunt.calls import Outcome
-from lovageshunt.idempotency import Leaving, Ticked
+from lovageshunt.idempotency import Leaving, RunOnceTicked
 
 _NAMES = ('a', 'b', 'c', 'd')
 _INDEX = st.integers(0, 11)
@@ -142,7 +142,7 @@
         """Time passes."""
         self.fleet.now += seconds
         for machine in self._active(len(_NAMES)):
-            self.fleet.tell(machine, Ticked())
+            self.fleet.tell(machine, RunOnceTicked())
 
     @invariant()
     def calls_run_at_most_once(self):
