--- a/bench/_protected.py
+++ b/bench/_protected.py
@@ -14,10 +14,10 @@
     Admission,
     AdmissionSettings,
     AdmissionTicked,
+    Admit,
     Arrived,
     CallerThresholds,
     Cancelled,
-    Dispatch,
     Event,
     Finished,
     Refuse,
@@ -104,7 +104,7 @@
         raise NotImplementedError(type(action).__name__)
 
     @_do.register
-    def _dispatch(self, action: Dispatch) -> None:
+    def _dispatch(self, action: Admit) -> None:
         call, reply = self._waiting.pop(action.call_id)
         self._running[call.call_id] = (call, reply)
         self.target.run(call, partial(self._finish, call))
--- a/src/lovageshunt/admission/_admission.py
+++ b/src/lovageshunt/admission/_admission.py
@@ -7,9 +7,9 @@
 from lovageshunt.admission._control import TargetControl
 from lovageshunt.admission._events import (
     Action,
+    Admit,
     Arrived,
     Cancelled,
-    Dispatch,
     DrainStarted,
     Event,
     Finished,
@@ -31,8 +31,8 @@
 class Admission:
     """Admits the calls to one target.
 
-    Every ``Arrived`` leads to exactly one ``Dispatch`` or ``Refuse``, unless
-    its caller cancels it while it waits. Every ``Dispatch`` must be followed
+    Every ``Arrived`` leads to exactly one ``Admit`` or ``Refuse``, unless
+    its caller cancels it while it waits. Every ``Admit`` must be followed
     by one ``Finished``, also after an ``Abort``.
 
     The limit starts at the published slots, the threshold open.
@@ -211,7 +211,7 @@
                 now=self._now,
                 deadline=call.deadline,
             )
-            actions.append(Dispatch(call.call_id))
+            actions.append(Admit(call.call_id))
         if self._queue:
             self._control.record_saturation()
 
--- a/src/lovageshunt/admission/_events.py
+++ b/src/lovageshunt/admission/_events.py
@@ -94,7 +94,7 @@
     __slots__ = ()
 
 
-class Dispatch(_CallRecord):
+class Admit(_CallRecord):
     """Send the call to the target now."""
 
     __slots__ = ()
@@ -138,4 +138,4 @@
     | LoadReported
     | DrainStarted
 )
-Action: TypeAlias = Dispatch | Refuse | Abort
+Action: TypeAlias = Admit | Refuse | Abort
--- a/src/lovageshunt/admission/_target_queue.py
+++ b/src/lovageshunt/admission/_target_queue.py
@@ -13,9 +13,9 @@
 
 from lovageshunt.admission._events import (
     Action,
+    Admit,
     Arrived,
     Cancelled,
-    Dispatch,
     DrainStarted,
     Event,
     Finished,
@@ -40,8 +40,8 @@
 class TargetQueue:
     """Queues the calls to one target by importance, then by deadline.
 
-    Every ``Arrived`` leads to exactly one ``Dispatch`` or ``Refuse``, unless
-    its caller cancels it while it waits. Every ``Dispatch`` must be followed
+    Every ``Arrived`` leads to exactly one ``Admit`` or ``Refuse``, unless
+    its caller cancels it while it waits. Every ``Admit`` must be followed
     by one ``Finished``, also after an ``Abort``.
 
     ``slots`` is the published concurrency of the target, replaced by what the
@@ -214,7 +214,7 @@
                 now=now,
                 deadline=call.deadline,
             )
-            actions.append(Dispatch(call.call_id))
+            actions.append(Admit(call.call_id))
 
     def _expire(self, actions: list[Action], now: float) -> None:
         while self._queue_deadlines and self._queue_deadlines[0][0] <= now:
--- a/src/lovageshunt/node/gate/_actions.py
+++ b/src/lovageshunt/node/gate/_actions.py
@@ -4,8 +4,7 @@
 from functools import singledispatch
 
 from lovageshunt._record import Record
-from lovageshunt.admission import Abort, Arrived, Finished, Refuse
-from lovageshunt.admission import Dispatch as Admit
+from lovageshunt.admission import Abort, Admit, Arrived, Finished, Refuse
 from lovageshunt.calls import Outcome, RefusalReason
 from lovageshunt.idempotency import (
     AnswerNotRun,
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -9,9 +9,9 @@
     Abort,
     Action,
     AdmissionTicked,
+    Admit,
     Arrived,
     Cancelled,
-    Dispatch,
     DrainStarted,
     Event,
     Finished,
@@ -191,7 +191,7 @@
         raise TypeError(type(action).__name__)
 
     @_perform.register
-    def _dispatch(self, action: Dispatch) -> None:
+    def _dispatch(self, action: Admit) -> None:
         run = self._run_by_call_id[action.call_id]
         run.sent_at = clock_now()
         self._repeats_running += run.is_repeat
--- a/tests/admission/test_admission.py
+++ b/tests/admission/test_admission.py
@@ -18,9 +18,9 @@
     Admission,
     AdmissionSettings,
     AdmissionTicked,
+    Admit,
     Arrived,
     Cancelled,
-    Dispatch,
     DrainStarted,
     Finished,
     Refuse,
@@ -141,7 +141,7 @@
             self.aborted.add(action.call_id)
             return
         self.waiting.remove(action.call_id)
-        if isinstance(action, Dispatch):
+        if isinstance(action, Admit):
             assert self.now < deadline
             self.running.add(action.call_id)
             is_above_floor = level % RANK_COUNT >= FLOOR
@@ -176,7 +176,7 @@
         """A call that arrives while a slot is free is dispatched directly."""
         admission = Admission(AdmissionSettings(slots=1), 0)
 
-        assert arrive(admission, 'a', 0) == [Dispatch('a')]
+        assert arrive(admission, 'a', 0) == [Admit('a')]
 
     def test_importance_precedes_arrival(self):
         """A released slot goes to the most important waiting call."""
@@ -187,7 +187,7 @@
 
         actions = admission.handle(Finished('a', was_complete=True), 0.01)
 
-        assert actions == [Dispatch('c')]
+        assert actions == [Admit('c')]
 
     def test_call_that_cannot_finish_is_refused_at_once(self):
         """A call that cannot finish before its deadline is not queued."""
@@ -386,7 +386,7 @@
 
     def start(self, actions, now):
         for action in actions:
-            if isinstance(action, Dispatch):
+            if isinstance(action, Admit):
                 starts_at = max(now, heappop(self.free_at))
                 heappush(self.free_at, starts_at + self.work_seconds)
                 end = (starts_at + self.work_seconds, action.call_id)
--- a/tests/admission/test_target_queue.py
+++ b/tests/admission/test_target_queue.py
@@ -5,9 +5,9 @@
 
 from lovageshunt.admission import (
     AdmissionTicked,
+    Admit,
     Arrived,
     Cancelled,
-    Dispatch,
     DrainStarted,
     Finished,
     LoadReported,
@@ -42,7 +42,7 @@
 
     def test_dispatches_while_there_are_slots(self) -> None:
         """A call that arrives while a slot is free is not queued."""
-        assert TargetQueue(slots=2).handle(arrived('a'), 0) == [Dispatch('a')]
+        assert TargetQueue(slots=2).handle(arrived('a'), 0) == [Admit('a')]
 
     def test_leaves_some_slots_free(self) -> None:
         """Some slots of a target stay free, here 3 of 50."""
@@ -56,7 +56,7 @@
         queue.handle(arrived('client', importance=1, deadline=1), 0)
         queue.handle(arrived('inner', importance=0, deadline=9), 0)
         finished = Finished('r', was_complete=True)
-        assert queue.handle(finished, 0.1) == [Dispatch('inner')]
+        assert queue.handle(finished, 0.1) == [Admit('inner')]
 
     def test_dispatches_the_nearer_deadline_first(self) -> None:
         """At equal importance the call with the nearer deadline is first."""
@@ -64,7 +64,7 @@
         queue.handle(arrived('late', deadline=9), 0)
         queue.handle(arrived('soon', deadline=3), 0)
         finished = Finished('r', was_complete=True)
-        assert queue.handle(finished, 0.1) == [Dispatch('soon')]
+        assert queue.handle(finished, 0.1) == [Admit('soon')]
 
     def test_refuses_at_once_what_cannot_end_in_time(self) -> None:
         """A call that would wait beyond its deadline is not queued."""
@@ -97,7 +97,7 @@
         queue = full_queue()
         queue.handle(arrived('a'), 0)
         reported = LoadReported(running=1, slots=8)
-        assert queue.handle(reported, 0.1) == [Dispatch('a')]
+        assert queue.handle(reported, 0.1) == [Admit('a')]
 
     def test_refuses_everything_when_leaving(self) -> None:
         """A drain refuses waiting and new calls as leaving."""
@@ -124,7 +124,7 @@
 
     def handle(self, event: object) -> None:
         for action in self.queue.handle(event, self.now):  # type: ignore
-            if isinstance(action, Dispatch):
+            if isinstance(action, Admit):
                 assert action.call_id in self.open
                 self.open.remove(action.call_id)
                 self.running.add(action.call_id)
