--- a/src/lovageshunt/node/gate/__init__.py
+++ b/src/lovageshunt/node/gate/__init__.py
@@ -1,1 +1,1 @@
-"""One call's way through the decisions beside its target."""
+"""Runs each call through run-once, admission and quarantine."""
--- a/src/lovageshunt/node/gate/_actions.py
+++ b/src/lovageshunt/node/gate/_actions.py
@@ -1,4 +1,7 @@
-"""What follows from the actions that the decisions ask for."""
+"""Carries out the actions that run-once, admission and quarantine return.
+
+The order of run-once, admission, quarantine and forwarding is decided here.
+"""
 
 from collections.abc import Iterable
 from functools import singledispatch
@@ -18,8 +21,8 @@
     Wait,
 )
 from lovageshunt.node.gate._messages import CallArrived, CancelForward
-from lovageshunt.node.gate._state import RETRY_AFTER_MS, GateState
-from lovageshunt.retries import CallEnded as FlightEnded
+from lovageshunt.node.gate._state import DEFAULT_RETRY_AFTER_MS, GateState
+from lovageshunt.retries import CallEnded as AttemptEnded
 from lovageshunt.retries import (
     CallStarting,
     Condemn,
@@ -28,24 +31,28 @@
 )
 
 
-def follow(
+def perform_all(
     actions: Iterable[Record],
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    """Carry out actions in order; ``out`` collects what the daemon must do."""
+    """Perform actions in order; those left to the daemon go to ``out``."""
     for action in actions:
-        act(action, state, now, out)
+        perform(action, state, now, out)
 
 
-def enter(
+def enter_admission(
     event: CallArrived,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    """Let a call into admission, unless a service below it refuses it."""
+    """Pass a call to admission, or refuse it for an overloaded dependency.
+
+    A call that a downstream service would shed is refused before it takes
+    a slot here.
+    """
     context = event.context
     wait_ms = state.thresholds.verdict_of_kind(
         context.kind,
@@ -58,85 +65,85 @@
             reason=RefusalReason.OVERLOAD,
             retry_after_ms=wait_ms,
         )
-        act(refuse, state, now, out)
+        perform(refuse, state, now, out)
         return
     arrived = Arrived(
         call_id=event.ticket,
         level=context.level,
         deadline=event.deadline,
     )
-    follow(state.admission.handle(arrived, now), state, now, out)
+    perform_all(state.admission.handle(arrived, now), state, now, out)
 
 
-def release(
+def release_slot(
     ticket: str,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    """Give back the slot of a call that was not forwarded after all."""
-    ended = FlightEnded(call_id=ticket, is_complete=False)
+    """Free the slot of a call that was admitted but not forwarded."""
+    ended = AttemptEnded(call_id=ticket, is_complete=False)
     out.extend(state.quarantine.handle(ended, now))
     finished = Finished(ticket, was_complete=True)
-    follow(state.admission.handle(finished, now), state, now, out)
+    perform_all(state.admission.handle(finished, now), state, now, out)
 
 
 @singledispatch
-def act(
+def perform(
     action: Record,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    """Hand on to the daemon what only it can do."""
+    """Leave an action without a handler here to the daemon."""
     out.append(action)
 
 
-@act.register
+@perform.register
 def _admit(
     action: Admit,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    event = state.by_ticket[action.call_id].event
+    event = state.pending_by_ticket[action.call_id].event
     starting = CallStarting(
         call_id=action.call_id,
         fingerprint=event.fingerprint,
         suspicion=event.context.suspicion,
         is_repeatable=event.is_repeatable,
     )
-    follow(state.quarantine.handle(starting, now), state, now, out)
+    perform_all(state.quarantine.handle(starting, now), state, now, out)
 
 
-@act.register
+@perform.register
 def _proceed(
     action: Proceed,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    arrival = state.by_ticket[action.call_id]
-    if arrival.event.is_repeatable:
-        state.forward(arrival, out)
+    pending = state.pending_by_ticket[action.call_id]
+    if pending.event.is_repeatable:
+        state.forward(pending, out)
         return
     due = DispatchDue(call_id=action.call_id)
-    follow(state.run_once.handle(due, now), state, now, out)
-    if not arrival.is_forwarded:
-        release(action.call_id, state, now, out)
+    perform_all(state.run_once.handle(due, now), state, now, out)
+    if not pending.is_forwarded:
+        release_slot(action.call_id, state, now, out)
 
 
-@act.register
+@perform.register
 def _dispatch(
     action: Dispatch,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    state.forward(state.by_ticket[action.call_id], out)
+    state.forward(state.pending_by_ticket[action.call_id], out)
 
 
-@act.register
+@perform.register
 def _refuse_for_now(
     action: RefuseForNow,
     state: GateState,
@@ -148,54 +155,54 @@
         reason=RefusalReason.QUARANTINE,
         retry_after_ms=action.retry_after_ms,
     )
-    act(refuse, state, now, out)
-    release(action.call_id, state, now, out)
+    perform(refuse, state, now, out)
+    release_slot(action.call_id, state, now, out)
 
 
-@act.register
+@perform.register
 def _condemn(
     action: Condemn,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    arrival = state.by_ticket[action.call_id]
-    if not arrival.event.is_repeatable:
-        busy = RefuseForNow(
+    pending = state.pending_by_ticket[action.call_id]
+    if not pending.event.is_repeatable:
+        refuse = RefuseForNow(
             call_id=action.call_id,
             retry_after_ms=action.retry_after_ms,
         )
-        act(busy, state, now, out)
+        perform(refuse, state, now, out)
         return
     ending = Ending(
         outcome=Outcome.FAILED,
         reason=RefusalReason.QUARANTINE,
     )
-    state.settle(action.call_id, ending, action.retry_after_ms, out)
-    release(action.call_id, state, now, out)
+    state.reply_by_ticket(action.call_id, ending, action.retry_after_ms, out)
+    release_slot(action.call_id, state, now, out)
 
 
-@act.register
+@perform.register
 def _refuse(
     action: Refuse,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    arrival = state.by_ticket[action.call_id]
-    if not arrival.event.is_repeatable:
+    pending = state.pending_by_ticket[action.call_id]
+    if not pending.event.is_repeatable:
         refused = Refused(
             call_id=action.call_id,
             reason=action.reason,
             retry_after_ms=action.retry_after_ms,
         )
-        follow(state.run_once.handle(refused, now), state, now, out)
+        perform_all(state.run_once.handle(refused, now), state, now, out)
         return
     ending = Ending(outcome=Outcome.NOT_RUN, reason=action.reason)
-    state.settle(action.call_id, ending, action.retry_after_ms, out)
+    state.reply_by_ticket(action.call_id, ending, action.retry_after_ms, out)
 
 
-@act.register
+@perform.register
 def _abort(
     action: Abort,
     state: GateState,
@@ -205,37 +212,41 @@
     out.append(CancelForward(action.call_id))
 
 
-@act.register
+@perform.register
 def _run(
     action: Run,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    enter(state.by_ticket[action.call_id].event, state, now, out)
+    enter_admission(
+        state.pending_by_ticket[action.call_id].event, state, now, out
+    )
 
 
-@act.register
+@perform.register
 def _wait(
     action: Wait,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    """Do nothing; another action ends the arrival."""
+    """Do nothing: a later action answers the call."""
 
 
-@act.register
+@perform.register
 def _replay(
     action: Replay,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    state.settle(action.call_id, action.ending, RETRY_AFTER_MS, out)
+    state.reply_by_ticket(
+        action.call_id, action.ending, DEFAULT_RETRY_AFTER_MS, out
+    )
 
 
-@act.register
+@perform.register
 def _answer_not_run(
     action: AnswerNotRun,
     state: GateState,
@@ -243,10 +254,10 @@
     out: list[Record],
 ) -> None:
     ending = Ending(outcome=Outcome.NOT_RUN, reason=action.reason)
-    state.settle(action.call_id, ending, action.retry_after_ms, out)
+    state.reply_by_ticket(action.call_id, ending, action.retry_after_ms, out)
 
 
-@act.register
+@perform.register
 def _answer_unknown(
     action: AnswerUnknown,
     state: GateState,
@@ -254,4 +265,4 @@
     out: list[Record],
 ) -> None:
     ending = Ending(outcome=Outcome.UNKNOWN, reason=action.reason)
-    state.settle(action.call_id, ending, action.retry_after_ms, out)
+    state.reply_by_ticket(action.call_id, ending, action.retry_after_ms, out)
--- a/src/lovageshunt/node/gate/_events.py
+++ b/src/lovageshunt/node/gate/_events.py
@@ -1,4 +1,4 @@
-"""What the gate does about each event."""
+"""Handles the events that reach the gate."""
 
 from functools import singledispatch
 from typing import Any, Final
@@ -20,7 +20,7 @@
     RunOnceTicked,
     WaiterCancelled,
 )
-from lovageshunt.node.gate._actions import enter, follow
+from lovageshunt.node.gate._actions import enter_admission, perform_all
 from lovageshunt.node.gate._messages import (
     CallAbandoned,
     CallArrived,
@@ -30,36 +30,41 @@
     TargetDown,
     TimePassed,
 )
-from lovageshunt.node.gate._state import RETRY_AFTER_MS, Arrival, GateState
-from lovageshunt.retries import CallEnded as FlightEnded
+from lovageshunt.node.gate._state import (
+    DEFAULT_RETRY_AFTER_MS,
+    GateState,
+    PendingCall,
+)
+from lovageshunt.retries import CallEnded as AttemptEnded
 from lovageshunt.retries import PeerReported, TargetCrashed
 
-_ABANDONED_RETRY_MS: Final = 100
+#: Retry delay in the reply to an abandoned call.
+_ABANDONED_RETRY_AFTER_MS: Final = 100
 
 
 @singledispatch
-def take(
+def handle_event(
     event: Any,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    """Pass what concerns only the run-once table to it."""
-    follow(state.run_once.handle(event, now), state, now, out)
+    """Pass an event without a handler here to the run-once table."""
+    perform_all(state.run_once.handle(event, now), state, now, out)
 
 
-@take.register
+@handle_event.register
 def _arrived(
     event: CallArrived,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    state.by_ticket[event.ticket] = Arrival(event)
+    state.pending_by_ticket[event.ticket] = PendingCall(event)
     if event.is_repeatable:
-        enter(event, state, now, out)
+        enter_admission(event, state, now, out)
         return
-    requested = AttemptReceived(
+    received = AttemptReceived(
         call_id=event.ticket,
         key=event.context.call_id,
         attempt=event.context.attempt,
@@ -69,95 +74,97 @@
         peers=event.peers,
         gone=event.gone,
     )
-    follow(state.run_once.handle(requested, now), state, now, out)
+    perform_all(state.run_once.handle(received, now), state, now, out)
 
 
-@take.register
+@handle_event.register
 def _ended(
     event: CallEnded,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    arrival = state.by_ticket[event.ticket]
-    _learn(arrival, event, state, now)
-    ended = FlightEnded(call_id=event.ticket, is_complete=event.is_complete)
+    pending = state.pending_by_ticket[event.ticket]
+    _record_thresholds(pending, event, state, now)
+    ended = AttemptEnded(call_id=event.ticket, is_complete=event.is_complete)
     out.extend(state.quarantine.handle(ended, now))
     finished = Finished(
         event.ticket,
         was_complete=event.is_complete,
         was_shed=event.was_shed,
     )
-    freed = state.admission.handle(finished, now)
-    if not arrival.event.is_repeatable:
+    admission_actions = state.admission.handle(finished, now)
+    if not pending.event.is_repeatable:
         completed = Completed(
-            key=arrival.event.context.call_id,
+            key=pending.event.context.call_id,
             ending=event.ending,
         )
-        follow(state.run_once.handle(completed, now), state, now, out)
-    state.reply(arrival, event.ending, event.retry_after_ms, out)
-    state.forget(event.ticket)
-    follow(freed, state, now, out)
+        perform_all(state.run_once.handle(completed, now), state, now, out)
+    state.reply(pending, event.ending, event.retry_after_ms, out)
+    state.remove(event.ticket)
+    perform_all(admission_actions, state, now, out)
 
 
-@take.register
+@handle_event.register
 def _abandoned(
     event: CallAbandoned,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    arrival = state.by_ticket.get(event.ticket)
-    if arrival is None or arrival.is_answered:
+    pending = state.pending_by_ticket.get(event.ticket)
+    if pending is None or pending.is_answered:
         return
-    ending = _ending_of_abandoned(arrival, event.reason)
-    state.reply(arrival, ending, _ABANDONED_RETRY_MS, out)
-    is_kept = arrival.is_forwarded and not arrival.event.is_repeatable
-    if is_kept:
-        # A call that must not repeat goes on, and its ending is kept.
+    ending = _ending_of_abandoned(pending, event.reason)
+    state.reply(pending, ending, _ABANDONED_RETRY_AFTER_MS, out)
+    must_run_on = pending.is_forwarded and not pending.event.is_repeatable
+    if must_run_on:
+        # A non-repeatable call runs on: its outcome is kept for retries.
         return
-    if not arrival.is_forwarded:
-        state.forget(event.ticket)
-    freed = state.admission.handle(Cancelled(event.ticket), now)
-    follow(freed, state, now, out)
-    if not arrival.event.is_repeatable:
+    if not pending.is_forwarded:
+        state.remove(event.ticket)
+    admission_actions = state.admission.handle(Cancelled(event.ticket), now)
+    perform_all(admission_actions, state, now, out)
+    if not pending.event.is_repeatable:
         withdrawn = WaiterCancelled(call_id=event.ticket)
-        follow(state.run_once.handle(withdrawn, now), state, now, out)
+        perform_all(state.run_once.handle(withdrawn, now), state, now, out)
 
 
-@take.register
+@handle_event.register
 def _redirected(
     event: CallRedirected,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    state.settle(event.ticket, event.ending, RETRY_AFTER_MS, out)
+    state.reply_by_ticket(
+        event.ticket, event.ending, DEFAULT_RETRY_AFTER_MS, out
+    )
 
 
-@take.register
+@handle_event.register
 def _time_passed(
     event: TimePassed,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    follow(state.admission.handle(AdmissionTicked(), now), state, now, out)
-    follow(state.run_once.handle(RunOnceTicked(), now), state, now, out)
+    perform_all(state.admission.handle(AdmissionTicked(), now), state, now, out)
+    perform_all(state.run_once.handle(RunOnceTicked(), now), state, now, out)
 
 
-@take.register
+@handle_event.register
 def _leave_begun(
     event: LeaveBegun,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    follow(state.run_once.handle(Leaving(), now), state, now, out)
-    follow(state.admission.handle(DrainStarted(), now), state, now, out)
+    perform_all(state.run_once.handle(Leaving(), now), state, now, out)
+    perform_all(state.admission.handle(DrainStarted(), now), state, now, out)
 
 
-@take.register
+@handle_event.register
 def _target_down(
     event: TargetDown,
     state: GateState,
@@ -167,17 +174,17 @@
     out.extend(state.quarantine.handle(TargetCrashed(), now))
 
 
-@take.register
+@handle_event.register
 def _load_reported(
     event: LoadReported,
     state: GateState,
     now: float,
     out: list[Record],
 ) -> None:
-    follow(state.admission.handle(event, now), state, now, out)
+    perform_all(state.admission.handle(event, now), state, now, out)
 
 
-@take.register
+@handle_event.register
 def _peer_reported(
     event: PeerReported,
     state: GateState,
@@ -187,8 +194,8 @@
     out.extend(state.quarantine.handle(event, now))
 
 
-def _learn(
-    arrival: Arrival,
+def _record_thresholds(
+    pending: PendingCall,
     event: CallEnded,
     state: GateState,
     now: float,
@@ -197,13 +204,13 @@
     for service, threshold in by_service.items():
         state.thresholds.learn(service, threshold, now)
     if by_service:
-        kind = arrival.event.context.kind
+        kind = pending.event.context.kind
         state.thresholds.record_dependencies(kind, list(by_service), now)
 
 
-def _ending_of_abandoned(arrival: Arrival, reason: RefusalReason) -> Ending:
+def _ending_of_abandoned(pending: PendingCall, reason: RefusalReason) -> Ending:
     outcome = Outcome.UNKNOWN
-    if arrival.event.is_repeatable:
-        ran = arrival.is_forwarded
+    if pending.event.is_repeatable:
+        ran = pending.is_forwarded
         outcome = Outcome.FAILED if ran else Outcome.NOT_RUN
     return Ending(outcome=outcome, reason=reason)
--- a/src/lovageshunt/node/gate/_gate.py
+++ b/src/lovageshunt/node/gate/_gate.py
@@ -1,8 +1,8 @@
-"""One call's way through the decisions beside its target.
+"""Runs each call through run-once, admission and quarantine.
 
-A call that must not repeat passes the run-once table first. Each call then
-passes admission, and the quarantine right before it is forwarded. The gate
-does no input or output.
+A non-repeatable call goes through the run-once table first. Every call then
+goes through admission, and through the quarantine just before it is
+forwarded. The gate does no I/O.
 """
 
 from collections.abc import Collection
@@ -11,7 +11,7 @@
 from lovageshunt.admission import Admission
 from lovageshunt.calls import LoadReport
 from lovageshunt.idempotency import RunOnce
-from lovageshunt.node.gate._events import take
+from lovageshunt.node.gate._events import handle_event
 from lovageshunt.node.gate._state import GateState
 from lovageshunt.retries import Quarantine
 
@@ -19,9 +19,9 @@
 class Gate:
     """Composes run-once, admission and quarantine for one target.
 
-    It takes the events of ``_gate_messages``, and those of the run-once
-    table that peers cause. Every ``CallArrived`` gets exactly one ``Reply``,
-    unless a ``Redirect`` sends it elsewhere.
+    It handles the events of ``_messages``, and those of the run-once table
+    that peers cause. Every ``CallArrived`` gets exactly one ``Reply``,
+    unless a ``Redirect`` sends it to another node.
     """
 
     __slots__ = ('_state',)
@@ -33,7 +33,6 @@
         run_once: RunOnce,
         quarantine: Quarantine,
     ) -> None:
-        """Take the three decisions; nothing is in progress."""
         self._state = GateState(
             admission=admission,
             run_once=run_once,
@@ -42,51 +41,52 @@
 
     @property
     def in_progress(self) -> int:
-        """Return how many calls wait or run here."""
-        return len(self._state.by_ticket)
+        """Return the number of calls that wait or run here."""
+        return len(self._state.pending_by_ticket)
 
     @property
     def unanswered(self) -> int:
-        """Return how many arrivals have had no reply."""
+        """Return the number of calls without a reply."""
         return sum(
-            not arrival.is_answered
-            for arrival in self._state.by_ticket.values()
+            not pending.is_answered
+            for pending in self._state.pending_by_ticket.values()
         )
 
     @property
     def threshold(self) -> int:
-        """Return the target's own threshold."""
+        """Return the admission threshold of the target itself."""
         return self._state.admission.threshold
 
     @property
     def next_wake(self) -> float:
-        """Return the time by which ``TimePassed`` is due."""
+        """Return the time by which the next ``TimePassed`` is due."""
         return self._state.admission.next_wake(0)
 
     def load(self) -> LoadReport:
-        """Return the target's load for the next answer."""
+        """Return the target's load, to be sent with the next answer."""
         return self._state.admission.load()
 
     def threshold_by_service(
         self,
         kind: str,
-        asked: Collection[str] | None,
+        services: Collection[str] | None,
         now: float,
     ) -> dict[str, int]:
-        """Return the thresholds to tell a caller: own, and those below.
+        """Return the thresholds to report to a caller, by service.
 
-        Below, those of the services that its call ``asked``; when it was
-        not forwarded, those that calls of its kind lately needed.
+        They are the target's own and those of the downstream services that
+        the call used (``services``). ``None`` means that the call was not
+        forwarded; the recent dependencies of its kind are used then.
         """
         thresholds = self._state.thresholds
-        if asked is None:
-            asked = thresholds.dependencies(kind, now)
-        by_service = thresholds.advertised(now, asked)
+        if services is None:
+            services = thresholds.dependencies(kind, now)
+        by_service = thresholds.advertised(now, services)
         by_service[self._state.run_once.service] = self.threshold
         return by_service
 
     def handle(self, event: Record, now: float) -> list[Record]:
-        """Take an event and return what the daemon must do, in order."""
+        """Return the actions that the daemon must perform, in order."""
         actions: list[Record] = []
-        take(event, self._state, now, actions)
+        handle_event(event, self._state, now, actions)
         return actions
--- a/src/lovageshunt/node/gate/_messages.py
+++ b/src/lovageshunt/node/gate/_messages.py
@@ -1,4 +1,4 @@
-"""What the gate is told about calls, and what it asks of its daemon."""
+"""The events that the gate handles, and the actions it returns."""
 
 from lovageshunt._record import Record
 from lovageshunt.calls import CallContext, HomeStamp, RefusalReason
@@ -8,10 +8,11 @@
 class CallArrived(Record):
     """A call reached this node.
 
-    ``ticket`` names the arrival, unlike the call's id, which a later attempt
-    bears too. ``deadline`` is on the node's clock. ``fingerprint`` is the
-    same for requests of the same content. ``peers`` and ``gone`` are the
-    other nodes of the service, ``None`` while the list was never read.
+    ``ticket`` identifies this arrival; the call's id is shared by all of
+    its attempts. ``deadline`` is a time on the node's clock, in seconds.
+    ``fingerprint`` is equal for requests of equal content. ``peers`` are
+    the present and ``gone`` the departed other nodes of the service;
+    ``peers`` is ``None`` until the membership list was first read.
     """
 
     __slots__ = (
@@ -35,7 +36,6 @@
         peers: tuple[HomeStamp, ...] | None = None,
         gone: tuple[DepartedNode, ...] = (),
     ) -> None:
-        """Take the call and what is known about it."""
         self.ticket = ticket
         self.context = context
         self.is_repeatable = is_repeatable
@@ -46,11 +46,12 @@
 
 
 class CallEnded(Record):
-    """A forwarded call left the target.
+    """A forwarded call ended at the target.
 
-    ``is_complete`` says that the target answered, with whatever status, and
-    ``was_shed`` that it refused the call for its own load.
-    ``threshold_by_service`` is what its answer told of the services below.
+    ``is_complete`` is true when the target answered, with any status;
+    ``was_shed`` when it refused the call because of its own load.
+    ``threshold_by_service`` holds the admission thresholds of downstream
+    services that its answer reported.
     """
 
     __slots__ = (
@@ -72,7 +73,6 @@
         was_shed: bool = False,
         threshold_by_service: dict[str, int] | None = None,
     ) -> None:
-        """Take how the call ended."""
         self.ticket = ticket
         self.ending = ending
         self.is_complete = is_complete
@@ -82,69 +82,71 @@
 
 
 class CallAbandoned(Record):
-    """Nobody waits for an arrival: its caller left, or its time is over."""
+    """A call lost its waiter: the caller disconnected or it timed out.
+
+    ``reason`` is which of the two.
+    """
 
     __slots__ = ('ticket', 'reason')
 
     def __init__(self, ticket: str, reason: RefusalReason) -> None:
-        """Name the arrival and which of the two it is."""
         self.ticket = ticket
         self.reason = reason
 
 
 class CallRedirected(Record):
-    """A call that was sent to its home came back with an ending."""
+    """A call that was redirected to its home node ended.
+
+    ``ending`` is the outcome at the home, unknown if it did not answer.
+    """
 
     __slots__ = ('ticket', 'ending')
 
     def __init__(self, *, ticket: str, ending: Ending) -> None:
-        """Take the ending at the home, or the doubt about it."""
         self.ticket = ticket
         self.ending = ending
 
 
 class TimePassed(Record):
-    """The timer turned."""
+    """Periodic tick; due by ``Gate.next_wake``."""
 
     __slots__ = ()
 
 
 class LeaveBegun(Record):
-    """The node begins a planned stop and takes no new calls."""
+    """The node starts a planned stop and accepts no new calls."""
 
     __slots__ = ()
 
 
 class TargetDown(Record):
-    """The target went down with the calls that are in flight."""
+    """The target crashed; the calls in flight are lost."""
 
     __slots__ = ()
 
 
 class Forward(Record):
-    """Send the call to the target now; report ``CallEnded``."""
+    """Send the call to the target now; ``CallEnded`` must follow."""
 
     __slots__ = ('ticket',)
 
     def __init__(self, ticket: str) -> None:
-        """Name the arrival."""
         self.ticket = ticket
 
 
 class CancelForward(Record):
-    """Cancel a call that was sent to the target; report ``CallEnded``."""
+    """Cancel a call that runs at the target; ``CallEnded`` must follow."""
 
     __slots__ = ('ticket',)
 
     def __init__(self, ticket: str) -> None:
-        """Name the arrival."""
         self.ticket = ticket
 
 
 class Reply(Record):
-    """Answer an arrival; each one gets exactly one reply.
+    """Answer a call; each arrival gets exactly one reply.
 
-    ``ran`` says that the call was forwarded for this arrival.
+    ``ran`` is true when this arrival was forwarded to the target.
     """
 
     __slots__ = ('ticket', 'ending', 'retry_after_ms', 'ran')
@@ -157,7 +159,6 @@
         retry_after_ms: int = 0,
         ran: bool = False,
     ) -> None:
-        """Take the ending and when to come back."""
         self.ticket = ticket
         self.ending = ending
         self.retry_after_ms = retry_after_ms
--- a/src/lovageshunt/node/gate/_state.py
+++ b/src/lovageshunt/node/gate/_state.py
@@ -1,4 +1,4 @@
-"""What the gate holds: the decisions, and the arrivals in progress."""
+"""The state of the gate: its three components and the pending calls."""
 
 from typing import Final
 
@@ -8,31 +8,37 @@
 from lovageshunt.node.gate._messages import CallArrived, Forward, Reply
 from lovageshunt.retries import Quarantine
 
-#: When to come back after an ending that did not say it.
-RETRY_AFTER_MS: Final = 1000
+#: Retry delay in a reply whose ending names none.
+DEFAULT_RETRY_AFTER_MS: Final = 1000
 
 
-class Arrival(Record):
-    """A call in progress here, and how far it came."""
+class PendingCall(Record):
+    """A call that has arrived here and is not over.
+
+    A call can be answered while it still runs at the target.
+    """
 
     __slots__ = ('event', 'is_forwarded', 'is_answered')
 
     def __init__(self, event: CallArrived) -> None:
-        """Begin with a call that has just arrived."""
         self.event = event
         self.is_forwarded = False
         self.is_answered = False
 
 
 class GateState:
-    """The three decisions, what is known of services below, and arrivals."""
+    """Holds the gate's components and its pending calls by ticket.
+
+    ``thresholds`` are the admission thresholds that downstream services
+    reported.
+    """
 
     __slots__ = (
         'admission',
         'run_once',
         'quarantine',
         'thresholds',
-        'by_ticket',
+        'pending_by_ticket',
     )
 
     def __init__(
@@ -42,53 +48,54 @@
         run_once: RunOnce,
         quarantine: Quarantine,
     ) -> None:
-        """Take the three decisions; nothing is in progress."""
         self.admission = admission
         self.run_once = run_once
         self.quarantine = quarantine
         self.thresholds = CallerThresholds()
-        self.by_ticket: dict[str, Arrival] = {}
+        self.pending_by_ticket: dict[str, PendingCall] = {}
 
-    def forward(self, arrival: Arrival, out: list[Record]) -> None:
-        """Have the call sent to the target."""
-        arrival.is_forwarded = True
-        out.append(Forward(arrival.event.ticket))
+    def forward(self, pending: PendingCall, out: list[Record]) -> None:
+        """Mark the call as forwarded and emit ``Forward``."""
+        pending.is_forwarded = True
+        out.append(Forward(pending.event.ticket))
 
     def reply(
         self,
-        arrival: Arrival,
+        pending: PendingCall,
         ending: Ending,
         retry_after_ms: int,
         out: list[Record],
     ) -> None:
-        """Answer an arrival, unless it was answered before."""
-        if arrival.is_answered:
+        """Emit a ``Reply``, unless the call was answered before."""
+        if pending.is_answered:
             return
-        arrival.is_answered = True
+        pending.is_answered = True
         out.append(
             Reply(
-                ticket=arrival.event.ticket,
+                ticket=pending.event.ticket,
                 ending=ending,
-                retry_after_ms=retry_after_ms or RETRY_AFTER_MS,
-                ran=arrival.is_forwarded,
+                retry_after_ms=retry_after_ms or DEFAULT_RETRY_AFTER_MS,
+                ran=pending.is_forwarded,
             ),
         )
 
-    def settle(
+    def reply_by_ticket(
         self,
         ticket: str,
         ending: Ending,
         retry_after_ms: int,
         out: list[Record],
     ) -> None:
-        """Answer an arrival by its ticket, and forget it if it never ran."""
-        arrival = self.by_ticket.get(ticket)
-        if arrival is None:
+        """Answer a call, and remove it if it was never forwarded.
+
+        A ticket that is not pending is ignored.
+        """
+        pending = self.pending_by_ticket.get(ticket)
+        if pending is None:
             return
-        self.reply(arrival, ending, retry_after_ms, out)
-        if not arrival.is_forwarded:
-            self.forget(ticket)
+        self.reply(pending, ending, retry_after_ms, out)
+        if not pending.is_forwarded:
+            self.remove(ticket)
 
-    def forget(self, ticket: str) -> None:
-        """Drop an arrival that is over."""
-        self.by_ticket.pop(ticket, None)
+    def remove(self, ticket: str) -> None:
+        self.pending_by_ticket.pop(ticket, None)
--- a/tests/node/gate/test_gate.py
+++ b/tests/node/gate/test_gate.py
@@ -1,4 +1,9 @@
-"""The gate's composition of run-once, admission and quarantine."""
+"""How the gate composes run-once, admission and quarantine.
+
+The state machine checks the invariants under any order of arrivals, ends,
+cancellations, crashes and pauses: one reply per arrival, at most one
+forward per non-repeatable call, and no slot leaked.
+"""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import (
@@ -39,7 +44,7 @@
 
 
 def make_gate():
-    """Return a gate that is settled, with two slots."""
+    """Return a settled gate with ``_SLOTS`` slots."""
     gate = Gate(
         admission=Admission(AdmissionSettings(slots=_SLOTS), 0),
         run_once=RunOnce(
@@ -56,12 +61,12 @@
 
 
 class GateMachine(RuleBasedStateMachine):
-    """Calls arrive, run, end, are abandoned; the target goes down."""
+    """Calls arrive, run, end and are abandoned; the target crashes."""
 
     tickets = Bundle('tickets')
 
     def __init__(self):
-        """Begin with a gate at time 10."""
+        """Start with a new gate at time 10."""
         super().__init__()
         self.gate = make_gate()
         self.now = 10.0
@@ -74,28 +79,28 @@
         self.not_run_keys = set()
         self.is_leaving = False
 
-    def tell(self, event):
-        """Tell the gate, and note what it asks for."""
+    def handle(self, event):
+        """Pass an event to the gate, and check and record its actions."""
         for action in self.gate.handle(event, self.now):
             if isinstance(action, Forward):
-                self.note_forward(action.ticket)
+                self.record_forward(action.ticket)
             if isinstance(action, CancelForward):
                 assert action.ticket in self.running
             if isinstance(action, Reply):
                 assert action.ticket not in self.replies
                 self.replies[action.ticket] = action
-                self.note_reply(action)
+                self.check_reply(action)
 
-    def note_forward(self, ticket):
-        """Note that a call goes to the target."""
+    def record_forward(self, ticket):
+        """Record a forward; a call must not run twice at a time."""
         assert ticket not in self.running
         self.running.add(ticket)
         key = self.key_by_ticket[ticket]
         if key:
             self.forwards_by_key[key] = self.forwards_by_key.get(key, 0) + 1
 
-    def note_reply(self, action):
-        """Check what an arrival is told."""
+    def check_reply(self, action):
+        """Check that a reply without an answer names a retry delay."""
         if action.ending.outcome is Outcome.ANSWERED:
             return
         assert action.retry_after_ms > 0
@@ -104,21 +109,21 @@
 
     @rule(target=tickets, importance=st.integers(0, 7), rank=st.integers(0, 9))
     def lookup(self, importance, rank):
-        """A call that may repeat arrives."""
+        """A repeatable call arrives."""
         return self.arrive('', importance, rank, 1)
 
     @rule(target=tickets, key=_KEYS, is_stamped=st.booleans())
     def purchase(self, key, is_stamped):
-        """An attempt of a call that must not repeat arrives."""
+        """An attempt of a non-repeatable call arrives."""
         attempt = int(key not in self.key_by_ticket.values())
         return self.arrive(key, 0, 0, attempt, is_stamped=is_stamped)
 
     def arrive(self, key, importance, rank, attempt, is_stamped=False):
-        """Let a call arrive."""
+        """Let a call arrive; a repeatable one has an empty key."""
         self.number += 1
         ticket = str(self.number)
         self.key_by_ticket[ticket] = key
-        self.tell(
+        self.handle(
             CallArrived(
                 ticket=ticket,
                 context=CallContext(
@@ -140,12 +145,12 @@
 
     @rule(ticket=consumes(tickets), is_good=st.booleans())
     def end(self, ticket, is_good):
-        """A running call comes back."""
+        """A running call ends at the target."""
         if ticket not in self.running:
             return
         self.running.discard(ticket)
         outcome = Outcome.ANSWERED if is_good else Outcome.FAILED
-        self.tell(
+        self.handle(
             CallEnded(
                 ticket=ticket,
                 ending=Ending(
@@ -158,22 +163,22 @@
 
     @rule(ticket=tickets)
     def abandon(self, ticket):
-        """A caller goes away."""
-        self.tell(CallAbandoned(ticket, RefusalReason.CANCELLED))
+        """A caller disconnects."""
+        self.handle(CallAbandoned(ticket, RefusalReason.CANCELLED))
 
     @rule()
     def crash(self):
-        """The target goes down with all that runs."""
-        self.tell(TargetDown())
+        """The target crashes, and every running call ends unanswered."""
+        self.handle(TargetDown())
         for ticket in tuple(self.running):
-            self.end_cut(ticket)
+            self.end_without_answer(ticket)
 
-    def end_cut(self, ticket):
-        """Let a running call end without an answer."""
+    def end_without_answer(self, ticket):
+        """End a running call without an answer."""
         self.running.discard(ticket)
-        is_once = self.key_by_ticket[ticket]
-        outcome = Outcome.UNKNOWN if is_once else Outcome.FAILED
-        self.tell(
+        key = self.key_by_ticket[ticket]
+        outcome = Outcome.UNKNOWN if key else Outcome.FAILED
+        self.handle(
             CallEnded(
                 ticket=ticket,
                 ending=Ending(
@@ -188,38 +193,38 @@
     def pass_time(self, seconds):
         """Time passes."""
         self.now += seconds
-        self.tell(TimePassed())
+        self.handle(TimePassed())
 
     @rule()
     def pause(self):
-        """The process wakes from a pause."""
+        """The process resumes after a pause of 5 s."""
         self.now += 5
-        self.tell(Resumed(gap_seconds=5))
+        self.handle(Resumed(gap_seconds=5))
 
     @rule()
     def leave(self):
-        """A planned stop begins."""
+        """A planned stop starts."""
         self.is_leaving = True
-        self.tell(LeaveBegun())
+        self.handle(LeaveBegun())
 
     @invariant()
     def slots_hold(self):
-        """Never more calls run than the limit allows."""
+        """The number of running calls stays within the limit."""
         assert len(self.running) <= _SLOTS * 1.5
 
     @invariant()
     def slots_are_given_back(self):
-        """Admission holds slots for the calls that run, and no others."""
+        """Admission holds slots for exactly the running calls."""
         assert self.gate.load().running == len(self.running)
 
     @invariant()
     def run_at_most_once(self):
-        """No call that must not repeat was forwarded twice."""
+        """No non-repeatable call was forwarded twice."""
         assert all(times == 1 for times in self.forwards_by_key.values())
 
     @invariant()
     def nothing_is_lost(self):
-        """What is neither answered nor in progress does not exist."""
+        """Every call without a reply is still in progress."""
         unanswered = set(self.key_by_ticket) - set(self.replies)
         assert self.gate.in_progress >= len(unanswered)
 
@@ -228,10 +233,10 @@
 
 
 class TestGate:
-    """What the gate composes."""
+    """Single scenarios."""
 
     def test_reply_to_the_second_attempt_is_that_of_the_first(self):
-        """Attempts of one call that meet get one outcome."""
+        """Concurrent attempts of one call get the same outcome."""
         machine = GateMachine()
         first = machine.arrive('k', 0, 0, 1)
         second = machine.arrive('k', 0, 0, 0)
@@ -240,7 +245,7 @@
         assert machine.replies[first].ending == machine.replies[second].ending
 
     def test_caller_gone_frees_its_slot_in_the_queue(self):
-        """An abandoned call that waits is never forwarded."""
+        """An abandoned call is removed from the queue and never forwarded."""
         machine = GateMachine()
         tickets = [machine.arrive('', 5, 0, 1) for _ in range(_SLOTS + 1)]
         machine.abandon(tickets[-1])
@@ -258,15 +263,15 @@
 
         assert machine.replies[second].ending.outcome is Outcome.ANSWERED
 
-    def test_kinds_that_need_a_pressed_service_are_refused_first(self):
-        """A threshold told by an answer refuses the kind, and no other."""
+    def test_kind_that_needs_an_overloaded_service_is_refused(self):
+        """A downstream threshold of 0 in an answer sheds calls of its kind."""
         machine = GateMachine()
         ticket = machine.arrive('', 5, 0, 1)
         machine.running.discard(ticket)
         for _ in range(20):
             again = machine.arrive('', 5, 0, 1)
             machine.running.discard(again)
-            machine.tell(
+            machine.handle(
                 CallEnded(
                     ticket=again,
                     ending=Ending(outcome=Outcome.ANSWERED),
@@ -279,11 +284,11 @@
         assert machine.replies[refused].ending.reason is RefusalReason.OVERLOAD
 
     def test_purchase_that_waited_through_a_pause_is_not_forwarded(self):
-        """Its inputs are old; it is refused and its slot given back."""
+        """It is refused as stale, and its slot is released."""
         machine = GateMachine()
         running = [machine.arrive('', 5, 0, 1) for _ in range(_SLOTS)]
         waiting = machine.arrive('k', 0, 0, 1)
-        machine.tell(Resumed(gap_seconds=0.1))
+        machine.handle(Resumed(gap_seconds=0.1))
         for ticket in running:
             machine.end(ticket, is_good=True)
 
