--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -30,7 +30,7 @@
 from lovageshunt.node.control._identity import Identity
 from lovageshunt.node.control._inquiries import Inquiries
 from lovageshunt.node.control._life import NodeLife
-from lovageshunt.node.control._outbox import Outbox
+from lovageshunt.node.control._outbox import PeerOutbox
 from lovageshunt.node.control._peer_link import PeerLink
 from lovageshunt.node.control._platform_loop import PlatformLoop
 from lovageshunt.node.control._settler import Settler
@@ -167,7 +167,7 @@
         self._engine = Engine(options, self._transport, rng)
         self._below = CallsBelow(self._engine)
         self._link = PeerLink(self._transport, read_token(settings.security))
-        self._outbox = Outbox(self._identity, self._link)
+        self._outbox = PeerOutbox(self._identity, self._link)
         fleet = FleetView(
             identity=self._identity,
             called_services=settings.calls.services,
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -21,7 +21,7 @@
 from lovageshunt.node.control._envelope import Envelope
 from lovageshunt.node.control._fleet_view import FleetView
 from lovageshunt.node.control._identity import Identity
-from lovageshunt.node.control._outbox import Outbox
+from lovageshunt.node.control._outbox import PeerOutbox
 from lovageshunt.retries import SuspectReport
 from lovageshunt.routing import RouteMember
 from lovageshunt.rules import (
@@ -50,7 +50,7 @@
         identity: Identity,
         called_services: tuple[str, ...],
         fleet: FleetView,
-        outbox: Outbox,
+        outbox: PeerOutbox,
         rng: Random,
     ) -> None:
         """Begin without rules."""
--- a/src/lovageshunt/node/control/_fleet_view.py
+++ b/src/lovageshunt/node/control/_fleet_view.py
@@ -24,7 +24,7 @@
     SendDigest,
 )
 from lovageshunt.node.control._identity import Identity
-from lovageshunt.node.control._outbox import Outbox
+from lovageshunt.node.control._outbox import PeerOutbox
 from lovageshunt.node.control._service_peers import ServicePeers
 
 _log = getLogger(__name__)
@@ -39,7 +39,7 @@
         identity: Identity,
         called_services: tuple[str, ...],
         election: ReaderElection,
-        outbox: Outbox,
+        outbox: PeerOutbox,
         rng: Random,
     ) -> None:
         """Begin knowing only this node itself."""
--- a/src/lovageshunt/node/control/_outbox.py
+++ b/src/lovageshunt/node/control/_outbox.py
@@ -12,7 +12,7 @@
 Heard = Callable[[str, str], None]
 
 
-class Outbox:
+class PeerOutbox:
     """One envelope for each peer that something is to be told to."""
 
     def __init__(self, identity: Identity, link: PeerLink) -> None:
--- a/src/lovageshunt/node/control/_settling.py
+++ b/src/lovageshunt/node/control/_settling.py
@@ -6,7 +6,7 @@
 from lovageshunt.client import LossKind
 from lovageshunt.membership import Bulletin, Member
 from lovageshunt.node.control._control import Control
-from lovageshunt.node.control._outbox import Outbox
+from lovageshunt.node.control._outbox import PeerOutbox
 from lovageshunt.node.control._peer_link import PeerLink
 
 _ROUND_SECONDS: Final = 1.0
@@ -22,7 +22,7 @@
     def __init__(
         self,
         control: Control,
-        outbox: Outbox,
+        outbox: PeerOutbox,
         link: PeerLink,
     ) -> None:
         """Begin with nobody having confirmed."""
--- a/tests/node/control/test_fleet_view.py
+++ b/tests/node/control/test_fleet_view.py
@@ -15,7 +15,7 @@
 )
 from lovageshunt.node.control._fleet_view import FleetView
 from lovageshunt.node.control._identity import Identity
-from lovageshunt.node.control._outbox import Outbox
+from lovageshunt.node.control._outbox import PeerOutbox
 from lovageshunt.node.control._peer_link import PeerLink
 
 
@@ -35,7 +35,7 @@
         identity=identity,
         called_services=(),
         election=ReaderElection('n1', 'a', rng, now=now()),
-        outbox=Outbox(identity, PeerLink(None, '')),
+        outbox=PeerOutbox(identity, PeerLink(None, '')),
         rng=rng,
     )
     listed = ListedVm(
