--- a/src/lovageshunt/node/control/_settler.py
+++ b/src/lovageshunt/node/control/_settler.py
@@ -7,7 +7,7 @@
 from lovageshunt.clock import now
 from lovageshunt.idempotency import Settled
 from lovageshunt.node.control._life import NodeLife
-from lovageshunt.node.control._settling import Settling
+from lovageshunt.node.control._settling import PeerConfirmations
 
 _log = getLogger(__name__)
 
@@ -21,7 +21,7 @@
 
     def __init__(
         self,
-        settling: Settling,
+        settling: PeerConfirmations,
         life: NodeLife,
         *,
         tell: Callable[[Record], None],
--- a/src/lovageshunt/node/control/_settling.py
+++ b/src/lovageshunt/node/control/_settling.py
@@ -12,7 +12,7 @@
 _ROUND_SECONDS: Final = 1.0
 
 
-class Settling:
+class PeerConfirmations:
     """Tells each listed peer of this incarnation until all have confirmed.
 
     A peer whose VM refuses connections runs no node, so it cannot miss this
