--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -31,10 +31,10 @@
 from lovageshunt.node.control._inquiries import Inquiries
 from lovageshunt.node.control._life import NodeLife
 from lovageshunt.node.control._outbox import PeerOutbox
+from lovageshunt.node.control._peer_confirmations import PeerConfirmations
 from lovageshunt.node.control._peer_link import PeerLink
 from lovageshunt.node.control._platform_loop import PlatformLoop
 from lovageshunt.node.control._settler import Settler
-from lovageshunt.node.control._settling import PeerConfirmations
 from lovageshunt.node.egress._below import CallingTargetLink, CallsBelow
 from lovageshunt.node.egress._egress import Egress
 from lovageshunt.node.serving._call_meter import CallMeter
--- a/src/lovageshunt/node/control/_settler.py
+++ b/src/lovageshunt/node/control/_settler.py
@@ -7,7 +7,7 @@
 from lovageshunt.clock import now
 from lovageshunt.idempotency import Settled
 from lovageshunt.node.control._life import NodeLife
-from lovageshunt.node.control._settling import PeerConfirmations
+from lovageshunt.node.control._peer_confirmations import PeerConfirmations
 
 _log = getLogger(__name__)
 
