--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -34,7 +34,7 @@
 from lovageshunt.node.control._peer_confirmations import PeerConfirmations
 from lovageshunt.node.control._peer_link import PeerLink
 from lovageshunt.node.control._platform_loop import PlatformLoop
-from lovageshunt.node.control._settler import Settler
+from lovageshunt.node.control._settler import SettlingController
 from lovageshunt.node.egress._below import CallingTargetLink, CallsBelow
 from lovageshunt.node.egress._egress import Egress
 from lovageshunt.node.serving._call_meter import CallMeter
@@ -279,7 +279,7 @@
             target=self._target,
             keeping=self._keeping,
             pauses=self._metrics.cell('lovageshunt_pauses_total'),
-            settler=Settler(
+            settler=SettlingController(
                 PeerConfirmations(self._control, self._outbox, self._link),
                 self._life,
                 tell=self._calls.handle,
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -27,7 +27,7 @@
 from lovageshunt.node.control._identity import Identity
 from lovageshunt.node.control._inquiries import Inquiries, wait_for_answer
 from lovageshunt.node.control._life import NodeLife
-from lovageshunt.node.control._settler import Settler
+from lovageshunt.node.control._settler import SettlingController
 from lovageshunt.node.gate._gate import Gate
 from lovageshunt.node.gate._messages import LeaveBegun, TimePassed
 from lovageshunt.node.serving._calls import Calls
@@ -60,7 +60,7 @@
         target: TargetLink,
         keeping: AccountKeeping,
         pauses: Cell,
-        settler: Settler,
+        settler: SettlingController,
         life: NodeLife,
         leave_seconds: float,
         drain_seconds: float,
--- a/src/lovageshunt/node/control/_settler.py
+++ b/src/lovageshunt/node/control/_settler.py
@@ -12,7 +12,7 @@
 _log = getLogger(__name__)
 
 
-class Settler:
+class SettlingController:
     """Lets the node serve once all peers know it, and not too young.
 
     A first attempt that was on its way when the node settled may be as old
