--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -182,7 +182,7 @@
         self._calls.handle(TimePassed())
         self._tick_control()
         if self._has_list:
-            self._errands.begin('settle', self._settler.turn)
+            self._errands.begin('settle', self._settler.advance)
         if now() >= self._load_at:
             self._load_at = now() + _LOAD_SECONDS
             self._errands.begin('load', self._read_load)
--- a/src/lovageshunt/node/control/_settler.py
+++ b/src/lovageshunt/node/control/_settler.py
@@ -37,7 +37,7 @@
         self._is_settled = False
         self._serves_from = now() + settle_seconds
 
-    async def turn(self) -> None:
+    async def advance(self) -> None:
         """Go on, if the node is settling; the list must have been read."""
         if self._life.state != 'settling':
             return
