--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -187,7 +187,7 @@
                 addresses=tuple(map(str, settings.platform.addresses)),
                 transport=self._plain,
             ),
-            self._control.tell,
+            self._control.handle_event,
         )
         fleet.read_platform = self._platform.start
         self._control.read_rules = self._platform.read_rules
@@ -282,7 +282,7 @@
             settler=SettlingController(
                 PeerConfirmations(self._control, self._outbox, self._link),
                 self._life,
-                tell=self._calls.handle,
+                handle_event=self._calls.handle,
                 settle_seconds=limits.settle_seconds,
                 transit_seconds=limits.transit_seconds,
             ),
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -123,7 +123,7 @@
             self._pauses.value += 1
             _log.warning('the process was paused for %.1f s', gap)
             self._calls.handle(Resumed(gap_seconds=gap))
-            self._control.tell(PauseEnded())
+            self._control.handle_event(PauseEnded())
             self._settler.restart()
 
     def handle(self, event: Record) -> None:
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -71,7 +71,7 @@
 
     def tick(self) -> None:
         """Let time pass, then send what has gathered."""
-        self.fleet.tell(Ticked())
+        self.fleet.handle_event(Ticked())
         peers = self.fleet.exchange_peers(_EXCHANGE_PEERS)
         ticked = SpreadTicked(
             peers=[peer.name for peer in peers],
@@ -84,12 +84,12 @@
         self._spread_event(ticked)
         self._outbox.flush()
 
-    def tell(self, event: Record) -> None:
+    def handle_event(self, event: Record) -> None:
         """Take an event of the platform or of a pause."""
         if isinstance(event, DocumentRead):
             self._spread_event(event)
             return
-        self.fleet.tell(event)
+        self.fleet.handle_event(event)
 
     def take(self, envelope: Envelope) -> None:
         """Take what a peer sent."""
@@ -99,16 +99,16 @@
             received = MessageReceived(peer=envelope.sender, message=message)
             self._spread_event(received)
         for bulletin in envelope.bulletins:
-            self.fleet.tell(BulletinReceived(bulletin))
+            self.fleet.handle_event(BulletinReceived(bulletin))
         if envelope.digest is not None:
-            self.fleet.tell(DigestReceived(envelope.digest))
+            self.fleet.handle_event(DigestReceived(envelope.digest))
 
     def heard(self, peer: str, incarnation: str) -> None:
         """Note that a peer answered, or that it did not."""
         event: Record = PeerSilent(peer)
         if incarnation:
             event = PeerAnswered(peer, incarnation)
-        self.fleet.tell(event)
+        self.fleet.handle_event(event)
 
     async def drain(self) -> None:
         """Wait until everything that was to be told has been sent."""
--- a/src/lovageshunt/node/control/_fleet_view.py
+++ b/src/lovageshunt/node/control/_fleet_view.py
@@ -63,7 +63,7 @@
         """Return what this node says of itself."""
         return self._view.own
 
-    def tell(self, event: Record) -> None:
+    def handle_event(self, event: Record) -> None:
         """Take an event of the platform, of a peer, of time or of a pause."""
         at = now()
         # The election takes each event first: the view answers a digest, and
--- a/src/lovageshunt/node/control/_platform_loop.py
+++ b/src/lovageshunt/node/control/_platform_loop.py
@@ -31,11 +31,11 @@
     def __init__(
         self,
         reader: PlatformReader,
-        tell: Callable[[Record], None],
+        handle_event: Callable[[Record], None],
     ) -> None:
-        """Keep the reader; ``tell`` takes the events that follow."""
+        """Keep the reader; ``handle_event`` takes the events that follow."""
         self._reader = reader
-        self._tell = tell
+        self._tell = handle_event
         self._revision_by_name: dict[str, int] = {}
         self._task_by_name: dict[str, Task[_Reading]] = {}
         self._last_list: VmList | None = None
--- a/src/lovageshunt/node/control/_settler.py
+++ b/src/lovageshunt/node/control/_settler.py
@@ -24,14 +24,14 @@
         settling: PeerConfirmations,
         life: NodeLife,
         *,
-        tell: Callable[[Record], None],
+        handle_event: Callable[[Record], None],
         settle_seconds: float,
         transit_seconds: float,
     ) -> None:
-        """Begin now; ``tell`` takes the events of the run-once table."""
+        """Begin now; ``handle_event`` takes the events of the run-once table."""
         self._settling = settling
         self._life = life
-        self._tell = tell
+        self._tell = handle_event
         self._settle_seconds = settle_seconds
         self._transit_seconds = transit_seconds
         self._is_settled = False
--- a/tests/node/control/test_fleet_view.py
+++ b/tests/node/control/test_fleet_view.py
@@ -45,7 +45,7 @@
         region='one',
         address='127.0.0.1:3',
     )
-    fleet.tell(ListRead(VmList(revision=1, vms=[listed])))
+    fleet.handle_event(ListRead(VmList(revision=1, vms=[listed])))
     return fleet
 
 
@@ -59,7 +59,9 @@
         address='127.0.0.1:3',
         incarnation=incarnation,
     )
-    fleet.tell(BulletinReceived(Bulletin(announcements=[word], list_news=[])))
+    fleet.handle_event(
+        BulletinReceived(Bulletin(announcements=[word], list_news=[]))
+    )
 
 
 class TestPeers:
