--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -131,10 +131,10 @@
         self.observe()
         self._calls.handle(event)
 
-    def take(self, envelope: Envelope) -> None:
+    def receive_envelope(self, envelope: Envelope) -> None:
         """Take what a peer sent."""
         self.observe()
-        self._control.take(envelope)
+        self._control.receive_envelope(envelope)
         for raw in envelope.snapshots:
             self.keep_account(raw)
         if envelope.suspects:
--- a/src/lovageshunt/node/admin/_admin.py
+++ b/src/lovageshunt/node/admin/_admin.py
@@ -147,7 +147,7 @@
         return _json({'state': self._runtime.state}, _ACCEPTED)
 
     async def _exchange(self, request: Request) -> Response:
-        self._runtime.take(decode_envelope(await _body(request)))
+        self._runtime.receive_envelope(decode_envelope(await _body(request)))
         home = self._runtime.identity.home
         return _json({'node': home.node, 'incarnation': home.incarnation})
 
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -91,7 +91,7 @@
             return
         self.fleet.handle_event(event)
 
-    def take(self, envelope: Envelope) -> None:
+    def receive_envelope(self, envelope: Envelope) -> None:
         """Take what a peer sent."""
         self._outbox.know(envelope.sender, envelope.address)
         self.heard(envelope.sender, envelope.incarnation)
