--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -119,7 +119,7 @@
         self.fleet.begin_leave()
         self._outbox.flush()
 
-    def tell_suspects(self, reports: tuple[SuspectReport, ...]) -> None:
+    def report_suspects(self, reports: tuple[SuspectReport, ...]) -> None:
         """Tell every node of the own service at once."""
         for member in self.members(self.identity.service):
             self._outbox.to(member.name).suspects.extend(reports)
--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -74,9 +74,9 @@
         self._handing: set[Task[None]] = set()
         self._open: dict[_Question, Future[InquiryAnswer]] = {}
 
-    def tell_suspects(self, reports: tuple[SuspectReport, ...]) -> None:
+    def report_suspects(self, reports: tuple[SuspectReport, ...]) -> None:
         """Tell every node of the service about suspects."""
-        self._control.tell_suspects(reports)
+        self._control.report_suspects(reports)
 
     async def ask(self, inquiry: Inquire) -> Record:
         """Ask a peer; return the event for the run-once table."""
--- a/src/lovageshunt/node/serving/_calls.py
+++ b/src/lovageshunt/node/serving/_calls.py
@@ -161,7 +161,7 @@
 
     @_act.register
     def _on_tell(self, action: TellPeers) -> None:
-        self._inquiries.tell_suspects(action.reports)
+        self._inquiries.report_suspects(action.reports)
 
     async def _inquire(self, action: Inquire) -> None:
         self.handle(await self._inquiries.ask(action))
