--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -216,7 +216,7 @@
         tick = KeepingTick(
             now=now(),
             wall_time=time(),
-            peers=self._control.keeping_peers(),
+            peers=self._control.account_peers(),
         )
         self._control.send_snapshots(self._keeping.handle(tick))
 
@@ -233,7 +233,7 @@
         closed = AccountClosed(
             now=now(),
             wall_time=time(),
-            peers=self._control.keeping_peers(),
+            peers=self._control.account_peers(),
         )
         self._control.send_snapshots(self._keeping.handle(closed))
         await self._inquiries.flush()
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -131,7 +131,7 @@
             self._outbox.to(send.to_node).snapshots.append(send.raw)
         self._outbox.flush()
 
-    def keeping_peers(self) -> list[Peer]:
+    def account_peers(self) -> list[Peer]:
         """Return the nodes that may keep accounts."""
         return [
             Peer(
--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -37,7 +37,7 @@
     control = SimpleNamespace(
         fleet=fleet,
         tick=lambda: None,
-        keeping_peers=list,
+        account_peers=list,
         send_snapshots=lambda sends: None,
     )
     return Runtime(
