--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -151,7 +151,7 @@
         peers = self._control.fleet.peers
         question.peers = peers.peers or ()
         question.gone = peers.gone(now())
-        answer = self._inquiries.expect(
+        answer = self._inquiries.expect_answer(
             question.key,
             question.asker,
             question.number,
--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -107,7 +107,7 @@
             answer=answer,
         )
 
-    def expect(
+    def expect_answer(
         self,
         key: str,
         asker: HomeStamp,
