--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -118,7 +118,7 @@
         self._open[(key, asker.node, asker.incarnation, number)] = answer
         return answer
 
-    def answered(self, action: AnswerInquiry) -> None:
+    def resolve_answer(self, action: AnswerInquiry) -> None:
         """Take the own answer to a peer's question."""
         asker = action.asker
         question = (action.key, asker.node, asker.incarnation, action.number)
--- a/src/lovageshunt/node/serving/_calls.py
+++ b/src/lovageshunt/node/serving/_calls.py
@@ -153,7 +153,7 @@
 
     @_act.register
     def _on_answer(self, action: AnswerInquiry) -> None:
-        self._inquiries.answered(action)
+        self._inquiries.resolve_answer(action)
 
     @_act.register
     def _on_hand_over(self, action: HandOver) -> None:
