--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -29,7 +29,7 @@
 from lovageshunt.node.control._life import NodeLife
 from lovageshunt.node.control._settler import SettlingController
 from lovageshunt.node.gate._gate import Gate
-from lovageshunt.node.gate._messages import LeaveBegun, TimePassed
+from lovageshunt.node.gate._messages import GateTicked, LeaveBegun
 from lovageshunt.node.serving._calls import Calls
 from lovageshunt.node.serving._errands import Errands
 from lovageshunt.node.serving._target import TargetLink
@@ -179,7 +179,7 @@
 
     async def _turn(self) -> None:
         self.observe()
-        self._calls.handle(TimePassed())
+        self._calls.handle(GateTicked())
         self._tick_control()
         if self._has_list:
             self._errands.begin('settle', self._settler.advance)
@@ -241,7 +241,7 @@
 
     async def _leaving_turn(self) -> None:
         self.observe()
-        self._calls.handle(TimePassed())
+        self._calls.handle(GateTicked())
         self._tick_control()
         await sleep(TICK_SECONDS)
 
--- a/src/lovageshunt/node/gate/_events.py
+++ b/src/lovageshunt/node/gate/_events.py
@@ -26,9 +26,9 @@
     CallArrived,
     CallEnded,
     CallRedirected,
+    GateTicked,
     LeaveBegun,
     TargetDown,
-    TimePassed,
 )
 from lovageshunt.node.gate._state import (
     DEFAULT_RETRY_AFTER_MS,
@@ -144,7 +144,7 @@
 
 @handle_event.register
 def _time_passed(
-    event: TimePassed,
+    event: GateTicked,
     state: GateState,
     now: float,
     out: list[Record],
--- a/src/lovageshunt/node/gate/_gate.py
+++ b/src/lovageshunt/node/gate/_gate.py
@@ -59,7 +59,7 @@
 
     @property
     def next_wake(self) -> float:
-        """Return the time by which the next ``TimePassed`` is due."""
+        """Return the time by which the next ``GateTicked`` is due."""
         return self._state.admission.next_wake(0)
 
     def load(self) -> LoadReport:
--- a/src/lovageshunt/node/gate/_messages.py
+++ b/src/lovageshunt/node/gate/_messages.py
@@ -107,7 +107,7 @@
         self.ending = ending
 
 
-class TimePassed(Record):
+class GateTicked(Record):
     """Periodic tick; due by ``Gate.next_wake``."""
 
     __slots__ = ()
--- a/tests/node/gate/test_gate.py
+++ b/tests/node/gate/test_gate.py
@@ -31,10 +31,10 @@
     CallEnded,
     CancelForward,
     Forward,
+    GateTicked,
     LeaveBegun,
     Reply,
     TargetDown,
-    TimePassed,
 )
 from lovageshunt.retries import Quarantine, QuarantineSettings
 
@@ -193,7 +193,7 @@
     def pass_time(self, seconds):
         """Time passes."""
         self.now += seconds
-        self.handle(TimePassed())
+        self.handle(GateTicked())
 
     @rule()
     def pause(self):
--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -5,7 +5,7 @@
 
 from lovageshunt.node._runtime import Runtime
 from lovageshunt.node.control._life import NodeLife
-from lovageshunt.node.gate._messages import TimePassed
+from lovageshunt.node.gate._messages import GateTicked
 
 _TURNS = 3
 _ENOUGH_SECONDS = 3
@@ -21,7 +21,7 @@
 
     def handle(self, event):
         """Count a turn; tell when there were enough."""
-        self.turns += isinstance(event, TimePassed)
+        self.turns += isinstance(event, GateTicked)
         if self.turns >= _TURNS:
             self.has_turned.set()
 
