--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -49,7 +49,7 @@
         target=SimpleNamespace(load=hang),
         keeping=SimpleNamespace(handle=lambda event: []),
         pauses=SimpleNamespace(value=0),
-        settler=SimpleNamespace(turn=hang, restart=lambda: None),
+        settler=SimpleNamespace(advance=hang, restart=lambda: None),
         life=NodeLife(),
         leave_seconds=0,
         drain_seconds=0,
