--- a/src/lovageshunt/node/control/__init__.py
+++ b/src/lovageshunt/node/control/__init__.py
@@ -1,1 +1,1 @@
-"""The node's part in the fleet: members, rules, inquiries, peers."""
+"""Connects the node to the fleet: membership, rules, inquiries and peers."""
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -1,4 +1,4 @@
-"""The node's part in the fleet: members, rules, and exchange with peers."""
+"""Spreads membership and rules by periodic exchange with peers."""
 
 from collections.abc import Callable, Iterable
 from logging import getLogger
@@ -36,13 +36,17 @@
     SpreadTicked,
 )
 
-#: Peers that rules are exchanged with in one turn.
+#: Number of peers that rules are exchanged with per tick.
 _EXCHANGE_PEERS: Final = 6
 _log = getLogger(__name__)
 
 
 class Control:
-    """Joins the view of the fleet and the rules to one exchange with peers."""
+    """Sends membership, rules and reports to peers in shared envelopes.
+
+    ``services`` are the node's own service and those that it calls, whose
+    rules and members it follows.
+    """
 
     def __init__(
         self,
@@ -53,15 +57,14 @@
         outbox: PeerOutbox,
         rng: Random,
     ) -> None:
-        """Begin without rules."""
-        needed = frozenset((identity.service, *called_services))
+        services = frozenset((identity.service, *called_services))
         self.identity = identity
-        self.services = tuple(sorted(needed))
-        self.rules = RulesInForce(needed)
+        self.services = tuple(sorted(services))
+        self.rules = RulesInForce(services)
         self.fleet = fleet
         self._outbox = outbox
-        self._outbox.heard = self.heard
-        #: Called to read the rules from the platform once.
+        self._outbox.on_answer = self.record_answer
+        #: Callback that starts one read of the rules from the platform.
         self.read_rules: Callable[[], None] = _no_read
         self._spread = Spread(
             rng,
@@ -70,7 +73,7 @@
         )
 
     def tick(self) -> None:
-        """Let time pass, then send what has gathered."""
+        """Run the periodic decisions, then send the pending envelopes."""
         self.fleet.handle_event(Ticked())
         peers = self.fleet.exchange_peers(_EXCHANGE_PEERS)
         ticked = SpreadTicked(
@@ -81,58 +84,58 @@
             },
             readers=self.fleet.readers,
         )
-        self._spread_event(ticked)
+        self._handle_rules_event(ticked)
         self._outbox.flush()
 
     def handle_event(self, event: Record) -> None:
-        """Take an event of the platform or of a pause."""
+        """Handle an event of the platform, or the end of a pause."""
         if isinstance(event, DocumentRead):
-            self._spread_event(event)
+            self._handle_rules_event(event)
             return
         self.fleet.handle_event(event)
 
     def receive_envelope(self, envelope: Envelope) -> None:
-        """Take what a peer sent."""
-        self._outbox.know(envelope.sender, envelope.address)
-        self.heard(envelope.sender, envelope.incarnation)
+        """Process a peer's envelope, except its suspects and snapshots."""
+        self._outbox.set_address(envelope.sender, envelope.address)
+        self.record_answer(envelope.sender, envelope.incarnation)
         for message in envelope.rules:
             received = MessageReceived(peer=envelope.sender, message=message)
-            self._spread_event(received)
+            self._handle_rules_event(received)
         for bulletin in envelope.bulletins:
             self.fleet.handle_event(BulletinReceived(bulletin))
         if envelope.digest is not None:
             self.fleet.handle_event(DigestReceived(envelope.digest))
 
-    def heard(self, peer: str, incarnation: str) -> None:
-        """Note that a peer answered, or that it did not."""
+    def record_answer(self, peer: str, incarnation: str) -> None:
+        """Record a peer's answer; an empty incarnation means there was none."""
         event: Record = PeerSilent(peer)
         if incarnation:
             event = PeerAnswered(peer, incarnation)
         self.fleet.handle_event(event)
 
     async def drain(self) -> None:
-        """Wait until everything that was to be told has been sent."""
+        """Wait until every flushed envelope has been sent or has failed."""
         await self._outbox.drain()
 
     def begin_leave(self) -> None:
-        """Announce that this node leaves."""
+        """Announce to peers that this node leaves."""
         self.fleet.begin_leave()
         self._outbox.flush()
 
     def report_suspects(self, reports: tuple[SuspectReport, ...]) -> None:
-        """Tell every node of the own service at once."""
+        """Report suspects to every node of the own service, without delay."""
         for member in self.members(self.identity.service):
-            self._outbox.to(member.name).suspects.extend(reports)
+            self._outbox.envelope_to(member.name).suspects.extend(reports)
         self._outbox.flush()
 
     def send_snapshots(self, sends: Iterable[SendSnapshot]) -> None:
-        """Give accounts to the peers that keep them."""
+        """Send account snapshots to the peers that store them."""
         for send in sends:
-            self._outbox.to(send.to_node).snapshots.append(send.raw)
+            self._outbox.envelope_to(send.to_node).snapshots.append(send.raw)
         self._outbox.flush()
 
     def account_peers(self) -> list[Peer]:
-        """Return the nodes that may keep accounts."""
+        """Return the nodes that may store account snapshots."""
         return [
             Peer(
                 node=member.name,
@@ -148,13 +151,13 @@
         return self.fleet.members(service)
 
     def admin_address(self, node: str) -> str | None:
-        """Return where a node takes exchange, if it is known."""
+        """Return a node's admin address (IP:PORT), if known."""
         return self._outbox.address_of(node)
 
     def client_view(self, services: tuple[str, ...]) -> View:
-        """Return what a client needs to know of some services.
+        """Return the rules and members that a client needs for services.
 
-        Services that this node neither serves nor calls are left out.
+        Services that this node neither serves nor calls are omitted.
         """
         document = self.rules.current
         by_service = {} if document is None else document.by_service
@@ -179,18 +182,20 @@
             routes.append(_route_of(own))
         return routes
 
-    def _spread_event(self, event: SpreadEvent) -> None:
+    def _handle_rules_event(self, event: SpreadEvent) -> None:
         for action in self._spread.handle(event, now()):
             if isinstance(action, SendMessage):
-                self._outbox.to(action.peer).rules.append(action.message)
+                self._outbox.envelope_to(action.peer).rules.append(
+                    action.message
+                )
             elif isinstance(action, ReadDocument):
                 self.read_rules()
             else:
-                _log.info('rules in force: %r', action.version)
+                _log.info('rules in force are now %r', action.version)
 
 
 def _no_read() -> None:
-    """Read nothing, before there is a platform."""
+    """Do nothing; stands in until a platform reader is attached."""
 
 
 def _route_of(member: Member | Announcement) -> RouteMember:
--- a/src/lovageshunt/node/control/_envelope.py
+++ b/src/lovageshunt/node/control/_envelope.py
@@ -1,4 +1,4 @@
-"""What one node sends another in one exchange, and its wire form."""
+"""The message that nodes exchange, and its JSON encoding."""
 
 from typing import Any, Final
 
@@ -13,15 +13,16 @@
 from lovageshunt.retries import SuspectReport, Suspicion
 from lovageshunt.rules import Message, decode_message, encode_message
 
-#: A longer envelope is refused unread.
+#: A longer envelope is rejected unread.
 MAX_ENVELOPE_BYTES: Final = 2_000_000
 
 
 class Envelope(Record):
-    """Everything that waits to be told to one peer.
+    """Holds the pending updates for one peer.
 
-    ``sender``, ``incarnation`` and ``address`` (the admin address) say who
-    tells it.
+    ``sender``, ``incarnation`` and ``address`` (its admin address, IP:PORT)
+    identify the sending node. ``snapshots`` are account snapshots in their
+    wire form.
     """
 
     __slots__ = (
@@ -42,7 +43,6 @@
         incarnation: str,
         address: str,
     ) -> None:
-        """Begin with nothing but who sends it."""
         self.sender = sender
         self.incarnation = incarnation
         self.address = address
@@ -50,12 +50,11 @@
         self.bulletins: list[Bulletin] = []
         self.digest: MembershipDigest | None = None
         self.suspects: list[SuspectReport] = []
-        #: Accounts to keep, in their wire form.
         self.snapshots: list[bytes] = []
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Return the envelope as compact JSON; what is empty is left out."""
+    """Return the envelope as compact JSON, without empty fields."""
     fields: dict[str, Any] = {
         'sender': envelope.sender,
         'incarnation': envelope.incarnation,
@@ -64,18 +63,18 @@
             orjson.Fragment(encode_message(message))
             for message in envelope.rules
         ],
-        'bulletins': [one.as_dict() for one in envelope.bulletins],
-        'suspects': [one.as_dict() for one in envelope.suspects],
+        'bulletins': [item.as_dict() for item in envelope.bulletins],
+        'suspects': [item.as_dict() for item in envelope.suspects],
         'snapshots': [orjson.Fragment(raw) for raw in envelope.snapshots],
     }
     if envelope.digest is not None:
         fields['digest'] = envelope.digest.as_dict()
-    kept = {name: part for name, part in fields.items() if part}
-    return orjson.dumps(kept)
+    non_empty = {name: part for name, part in fields.items() if part}
+    return orjson.dumps(non_empty)
 
 
 def decode_envelope(body: bytes) -> Envelope:
-    """Return the envelope in JSON; raises ``MalformedEnvelopeError``."""
+    """Decode an envelope; raises ``MalformedEnvelopeError``."""
     try:
         return _envelope_of(orjson.loads(body))
     except (LookupError, TypeError, ValueError) as error:
@@ -90,22 +89,22 @@
         incarnation=_text(fields['incarnation']),
         address=_text(fields['address']),
     )
-    envelope.rules = [_rules_of(one) for one in fields.get('rules', ())]
+    envelope.rules = [_rules_of(item) for item in fields.get('rules', ())]
     envelope.bulletins = [
-        Bulletin.from_fields(one) for one in fields.get('bulletins', ())
+        Bulletin.from_fields(item) for item in fields.get('bulletins', ())
     ]
     envelope.suspects = [
         SuspectReport(
-            fingerprint=_text(one['fingerprint']),
-            suspicion=Suspicion(one['suspicion']),
+            fingerprint=_text(item['fingerprint']),
+            suspicion=Suspicion(item['suspicion']),
         )
-        for one in fields.get('suspects', ())
+        for item in fields.get('suspects', ())
     ]
     digest = fields.get('digest')
     if digest is not None:
         envelope.digest = MembershipDigest.from_fields(digest)
     envelope.snapshots = [
-        orjson.dumps(one) for one in fields.get('snapshots', ())
+        orjson.dumps(item) for item in fields.get('snapshots', ())
     ]
     return envelope
 
@@ -119,5 +118,7 @@
 
 def _text(content: object) -> str:
     if not isinstance(content, str):
-        raise TypeError('text was expected')
+        raise TypeError(
+            f'expected a string, got {type(content).__name__}',
+        )
     return content
--- a/src/lovageshunt/node/control/_fleet_view.py
+++ b/src/lovageshunt/node/control/_fleet_view.py
@@ -1,4 +1,4 @@
-"""The node's view of the fleet: members, peers, and who reads the platform."""
+"""Tracks members and peers, and takes part in the reader election."""
 
 from collections.abc import Callable, Iterable
 from functools import singledispatchmethod
@@ -31,7 +31,11 @@
 
 
 class FleetView:
-    """Drives the decisions on members; what they ask for goes to peers."""
+    """Drives the membership view and the platform reader election.
+
+    Their actions are sent to peers through the outbox, or start a platform
+    read. ``peers`` are the other nodes of the own service.
+    """
 
     def __init__(
         self,
@@ -42,7 +46,6 @@
         outbox: PeerOutbox,
         rng: Random,
     ) -> None:
-        """Begin knowing only this node itself."""
         self.peers = ServicePeers()
         self._has_list = False
         self._identity = identity
@@ -54,62 +57,66 @@
         )
         self._election = election
         self._outbox = outbox
-        #: Called to read the platform, and when this VM is listed as leaving.
+        #: Callbacks: read or watch (true) the platform; this VM was listed as
+        #: leaving.
         self.read_platform: Callable[[bool], None] = _no_read
         self.leave: Callable[[], None] = _no_leave
 
     @property
     def own(self) -> Announcement:
-        """Return what this node says of itself."""
+        """Return the announcement that this node spreads about itself."""
         return self._view.own
 
     def handle_event(self, event: Record) -> None:
-        """Take an event of the platform, of a peer, of time or of a pause."""
+        """Handle an event: platform, peer, tick, or the end of a pause."""
         at = now()
-        # The election takes each event first: the view answers a digest, and
-        # may pass over what only the election must know.
+        # The election handles each event first: the view answers a digest,
+        # and may skip parts that only the election needs.
         self._perform(self._election.handle(event, at))
         if isinstance(event, ListReadFailed):
             return
         self._perform(self._view.handle(event, at))
         self._has_list = self._has_list or isinstance(event, ListRead)
-        # An incarnation changes without any change of who the members are,
-        # so the run-once table's peers are brought up to date every time.
+        # An incarnation can change while the set of members stays the same,
+        # so the run-once table's peers are updated after every event.
         self._update_peers(at)
 
     def begin_leave(self) -> None:
-        """Announce that this node leaves."""
+        """Queue announcements that this node leaves."""
         self._perform(self._view.handle(LeaveStarted(), now()))
 
     def members(self, service: str) -> list[Member]:
-        """Return the other members of a service, and note where they are."""
+        """Return the other members of a service; store their addresses."""
         members = list(self._view.members_of(service))
         for member in members:
-            self._outbox.know(member.name, _admin_of(member))
+            self._outbox.set_address(member.name, _admin_address_of(member))
         return members
 
     def platform_age_seconds(self) -> float:
-        """Return how long ago the platform is known to have answered.
+        """Return the seconds since the platform's last known answer.
 
-        Negative while it is not known to have.
+        Negative while no answer is known.
         """
         return self._election.news_age_seconds(now())
 
     @property
     def readers(self) -> list[str]:
-        """Return the platform's readers in the own failure domain."""
+        """Return the other platform readers in the own failure domain."""
         own = self._identity.name
         return [name for name in self._election.readers if name != own]
 
     def exchange_peers(self, count: int) -> list[Peer]:
-        """Draw peers for an exchange, and note where they are."""
+        """Choose peers for an exchange; store their addresses."""
         peers = self._view.peers_for_exchange(count)
         for peer in peers:
-            self._outbox.know(peer.name, peer.address)
+            self._outbox.set_address(peer.name, peer.address)
         return peers
 
     def ingress_address(self, node: str) -> str | None:
-        """Return where a node of the own service takes calls."""
+        """Return the ingress address of a node of the own service.
+
+        Recently departed nodes are included.
+        """
         service = self._identity.service
         known = (*self.members(service), *self._view.lately_departed(service))
         for member in known:
@@ -133,22 +140,24 @@
 
     @singledispatchmethod
     def _act(self, action: Record) -> None:
-        _log.error('no way to carry out %r', action)
+        _log.error('no handler for the action %r; it is dropped', action)
 
     @_act.register
     def _announce(self, action: Announce) -> None:
-        self._outbox.know(action.peer.name, action.peer.address)
-        self._outbox.to(action.peer.name).bulletins.append(action.bulletin)
+        self._outbox.set_address(action.peer.name, action.peer.address)
+        self._outbox.envelope_to(action.peer.name).bulletins.append(
+            action.bulletin
+        )
 
     @_act.register
     def _send_digest(self, action: SendDigest) -> None:
-        self._outbox.know(action.peer.name, action.peer.address)
-        self._outbox.to(action.peer.name).digest = action.digest
+        self._outbox.set_address(action.peer.name, action.peer.address)
+        self._outbox.envelope_to(action.peer.name).digest = action.digest
 
     @_act.register
     def _probe(self, action: Probe) -> None:
-        # An empty envelope is a probe: its answer names the incarnation.
-        self._outbox.to(action.name)
+        # An empty envelope is a probe: the answer contains the incarnation.
+        self._outbox.envelope_to(action.name)
 
     @_act.register
     def _members_changed(self, action: MembersChanged) -> None:
@@ -175,13 +184,13 @@
     )
 
 
-def _admin_of(member: Member) -> str:
+def _admin_address_of(member: Member) -> str:
     return member.admin_address or member.address
 
 
 def _no_read(is_watch: bool) -> None:
-    """Read nothing."""
+    """Do nothing; stands in until a platform reader is attached."""
 
 
 def _no_leave() -> None:
-    """Take no notice."""
+    """Do nothing; stands in until the runtime is attached."""
--- a/src/lovageshunt/node/control/_identity.py
+++ b/src/lovageshunt/node/control/_identity.py
@@ -1,11 +1,15 @@
-"""Who this node is, for the whole of its life."""
+"""The identity of this node, fixed for the life of the process."""
 
 from lovageshunt._record import Record
 from lovageshunt.calls import HomeStamp
 
 
 class Identity(Record):
-    """The node's name, place and addresses, and this life of it."""
+    """The node's name, location and addresses, and its incarnation.
+
+    ``ingress`` and ``admin`` are addresses (IP:PORT). ``incarnation``
+    differs at each start of the process.
+    """
 
     __slots__ = (
         'name',
@@ -28,7 +32,6 @@
         admin: str,
         incarnation: str,
     ) -> None:
-        """Take every field by name; addresses are IP:PORT."""
         self.name = name
         self.service = service
         self.failure_domain = failure_domain
@@ -39,5 +42,5 @@
 
     @property
     def home(self) -> HomeStamp:
-        """Return the stamp that makes this node the home of a call."""
+        """Return the stamp that names this node as the home of a call."""
         return HomeStamp(node=self.name, incarnation=self.incarnation)
--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -1,4 +1,4 @@
-"""What this node asks, answers and hands to others about single calls."""
+"""Inquiries, redirects and hand-overs between nodes of one service."""
 
 from asyncio import (
     Future,
@@ -49,15 +49,15 @@
 from lovageshunt.node.serving._target import forwardable, passing_headers
 from lovageshunt.retries import SuspectReport
 
-_ANSWER_SECONDS: Final = 1.0
-_HAND_OVER_SECONDS: Final = 3.0
+_INQUIRY_TIMEOUT_SECONDS: Final = 1.0
+_FLUSH_TIMEOUT_SECONDS: Final = 3.0
 _HTTP_OK: Final = 200
-#: Named apart from a call's key, so that two askers of one key differ.
-_Question = tuple[str, str, str, int]
+#: Key, asker's node and incarnation, number: two askers of a key differ.
+_InquiryId = tuple[str, str, str, int]
 
 
 class Inquiries:
-    """Speaks with the nodes of the own service about single calls."""
+    """Exchanges state of single calls with nodes of the own service."""
 
     def __init__(
         self,
@@ -66,20 +66,22 @@
         transport: Transport,
         key: ContextKey | None,
     ) -> None:
-        """Begin with no question open."""
         self._key = key
         self._control = control
         self._link = link
         self._transport = transport
-        self._handing: set[Task[None]] = set()
-        self._open: dict[_Question, Future[InquiryAnswer]] = {}
+        self._hand_over_tasks: set[Task[None]] = set()
+        self._answers: dict[_InquiryId, Future[InquiryAnswer]] = {}
 
     def report_suspects(self, reports: tuple[SuspectReport, ...]) -> None:
-        """Tell every node of the service about suspects."""
+        """Report suspects to every node of the service."""
         self._control.report_suspects(reports)
 
     async def ask(self, inquiry: Inquire) -> Record:
-        """Ask a peer; return the event for the run-once table."""
+        """Send an inquiry; return the resulting run-once event.
+
+        Any failure, also a malformed answer, gives ``InquiryFailed``.
+        """
         failed = InquiryFailed(
             key=inquiry.key,
             peer=inquiry.peer,
@@ -92,7 +94,7 @@
             address,
             INQUIRY_PATH,
             encode_inquiry(self._control.identity.home, inquiry),
-            _ANSWER_SECONDS,
+            _INQUIRY_TIMEOUT_SECONDS,
         )
         if posted.is_error() or posted.ok.status != _HTTP_OK:
             return failed
@@ -113,30 +115,30 @@
         asker: HomeStamp,
         number: int,
     ) -> Future[InquiryAnswer]:
-        """Return where the own answer to a peer's question will appear."""
+        """Return a future for this node's answer to a peer's inquiry."""
         answer: Future[InquiryAnswer] = get_running_loop().create_future()
-        self._open[(key, asker.node, asker.incarnation, number)] = answer
+        self._answers[(key, asker.node, asker.incarnation, number)] = answer
         return answer
 
     def resolve_answer(self, action: AnswerInquiry) -> None:
-        """Take the own answer to a peer's question."""
+        """Resolve the future of this node's answer to a peer's inquiry."""
         asker = action.asker
-        question = (action.key, asker.node, asker.incarnation, action.number)
-        answer = self._open.pop(question, None)
+        inquiry_id = (action.key, asker.node, asker.incarnation, action.number)
+        answer = self._answers.pop(inquiry_id, None)
         if answer is not None and not answer.done():
             answer.set_result(action.answer)
 
     async def flush(self) -> None:
-        """Wait until what was handed over has been sent."""
-        if self._handing:
-            await wait(self._handing, timeout=_HAND_OVER_SECONDS)
+        """Wait for the pending hand-overs, at most 3 s."""
+        if self._hand_over_tasks:
+            await wait(self._hand_over_tasks, timeout=_FLUSH_TIMEOUT_SECONDS)
 
     def start_hand_over(self, action: HandOver) -> None:
-        """Begin to hand over; ``flush`` waits for it."""
-        self._handing.add(create_task(self.hand_over(action)))
+        """Start a hand-over in the background; ``flush`` waits for it."""
+        self._hand_over_tasks.add(create_task(self.hand_over(action)))
 
     async def hand_over(self, action: HandOver) -> None:
-        """Give what this leaving node knows to every peer of the service."""
+        """Send this leaving node's call records to every service peer."""
         body = encode_hand_over(self._control.identity.home, action.entries)
         for member in self._control.members(self._control.identity.service):
             address = self._control.admin_address(member.name)
@@ -152,13 +154,15 @@
         seconds_left: float,
         held_seconds: float,
     ) -> Ending:
-        """Send a call to its home and return how it ended there.
+        """Send a call to its home node and return its ending there.
 
-        ``held_seconds`` is how long it was held here, and so adds to its age.
+        The ending is *unknown* when the home cannot be reached or its answer
+        is malformed. ``held_seconds`` is the time that the call spent here;
+        it is added to the call's age.
         """
         address = self._control.fleet.ingress_address(action.home.node)
         if address is None:
-            return _in_doubt()
+            return _unknown_ending()
         context = forwarded_context(
             admissible.context,
             home=action.stamp,
@@ -178,33 +182,33 @@
             timeout_seconds=seconds_left,
         )
         if exchange.is_error():
-            return _in_doubt()
+            return _unknown_ending()
         return _ending_of(exchange.ok, context.call_id)
 
 
 async def wait_for_answer(answer: Future[InquiryAnswer]) -> InquiryAnswer:
-    """Wait for the own answer; raises ``TimeoutError`` when it is late."""
-    return await wait_for(answer, _ANSWER_SECONDS)
+    """Wait for the answer; raises ``TimeoutError`` after 1 s."""
+    return await wait_for(answer, _INQUIRY_TIMEOUT_SECONDS)
 
 
-def _in_doubt() -> Ending:
+def _unknown_ending() -> Ending:
     return Ending(
         outcome=Outcome.UNKNOWN,
         reason=RefusalReason.CONNECTION_LOST,
     )
 
 
-def _ending_of(whole: WholeAnswer, call_id: str) -> Ending:
+def _ending_of(response: WholeAnswer, call_id: str) -> Ending:
     try:
-        said = decode_answer(whole.headers.get(ANSWER_HEADER, ''), call_id)
+        info = decode_answer(response.headers.get(ANSWER_HEADER, ''), call_id)
     except MalformedAnswerError:
-        return _in_doubt()
+        return _unknown_ending()
     return Ending(
-        outcome=said.outcome,
-        reason=said.reason,
+        outcome=info.outcome,
+        reason=info.reason,
         answer=StoredAnswer(
-            status=whole.status,
-            headers=passing_headers(whole.headers),
-            body=whole.body,
+            status=response.status,
+            headers=passing_headers(response.headers),
+            body=response.body,
         ),
     )
--- a/src/lovageshunt/node/control/_inquiry_codec.py
+++ b/src/lovageshunt/node/control/_inquiry_codec.py
@@ -1,4 +1,4 @@
-"""The wire form of inquiries about a call, and of a hand-over."""
+"""JSON encoding of inquiries about a call, and of hand-overs."""
 
 from base64 import b64decode, b64encode
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 def encode_inquiry(asker: HomeStamp, inquiry: Inquire) -> bytes:
-    """Return the question of one node as JSON."""
+    """Encode an inquiry; ``peer``, its recipient, is not sent."""
     fields = inquiry.as_dict()
     fields.pop('peer')
     fields['asker'] = asker.as_dict()
@@ -28,7 +28,7 @@
 
 
 def decode_inquiry(body: bytes) -> InquiryReceived:
-    """Return the question; raises ``MalformedEnvelopeError``."""
+    """Decode an inquiry; raises ``MalformedEnvelopeError``."""
     try:
         fields = orjson.loads(body)
         asker = HomeStamp(**fields.pop('asker'))
@@ -38,17 +38,16 @@
 
 
 def encode_inquiry_answer(answer: InquiryAnswer) -> bytes:
-    """Return the answer to an inquiry as JSON."""
     fields = answer.as_dict()
     fields['answerer'] = answer.answerer.as_dict()
     fields['home'] = answer.home.as_dict() if answer.home else None
-    fields['known'] = [one.as_dict() for one in answer.known]
-    fields['covered'] = [one.as_dict() for one in answer.covered]
+    fields['known'] = [stamp.as_dict() for stamp in answer.known]
+    fields['covered'] = [stamp.as_dict() for stamp in answer.covered]
     return orjson.dumps(fields)
 
 
 def decode_inquiry_answer(body: bytes) -> InquiryAnswer:
-    """Return the answer; raises ``MalformedEnvelopeError``."""
+    """Decode an inquiry answer; raises ``MalformedEnvelopeError``."""
     try:
         return _inquiry_answer_of(orjson.loads(body))
     except (LookupError, TypeError, ValueError) as error:
@@ -61,8 +60,8 @@
         claim=Claim(fields.pop('claim')),
         answerer=HomeStamp(**fields.pop('answerer')),
         home=HomeStamp(**home) if home else None,
-        known=tuple(HomeStamp(**one) for one in fields.pop('known')),
-        covered=tuple(HomeStamp(**one) for one in fields.pop('covered')),
+        known=tuple(HomeStamp(**stamp) for stamp in fields.pop('known')),
+        covered=tuple(HomeStamp(**stamp) for stamp in fields.pop('covered')),
         **fields,
     )
 
@@ -71,7 +70,7 @@
     leaver: HomeStamp,
     entries: tuple[HandOverEntry, ...],
 ) -> bytes:
-    """Return what a leaving node knows of calls as JSON."""
+    """Encode the call records of a leaving node."""
     return orjson.dumps(
         {
             'leaver': leaver.as_dict(),
@@ -88,7 +87,7 @@
 
 
 def decode_hand_over(body: bytes) -> HandOverReceived:
-    """Return what was handed over; raises ``MalformedEnvelopeError``."""
+    """Decode a hand-over; raises ``MalformedEnvelopeError``."""
     try:
         fields = orjson.loads(body)
         return HandOverReceived(
--- a/src/lovageshunt/node/control/_life.py
+++ b/src/lovageshunt/node/control/_life.py
@@ -1,32 +1,34 @@
-"""The node's life, as its state chart has it."""
+"""The node's life-cycle state, driven by its state chart."""
 
 from lovageshunt.charts import Life, load_chart
 
 
 class NodeLife:
-    """Starting, settling, serving, leaving, stopped."""
+    """Holds the life-cycle state of a node.
+
+    The states are starting, settling, serving, leaving and stopped.
+    """
 
     __slots__ = ('_life',)
 
     def __init__(self) -> None:
-        """Begin in the chart's first state."""
         self._life = Life(load_chart('node'))
 
     @property
     def state(self) -> str:
-        """Return the present state's name."""
+        """Return the name of the current state."""
         return self._life.state
 
     @property
     def is_serving(self) -> bool:
-        """Return whether the node takes calls of every kind."""
+        """Return whether the node accepts calls of every kind."""
         return self._life.state == 'serving'
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether a planned stop has begun."""
+        """Return whether a planned stop has started or ended."""
         return self._life.state in {'leaving', 'stopped'}
 
     def step(self, event: str) -> bool:
-        """Follow an event of the chart, if the state takes it."""
+        """Apply an event of the chart; return false if the state ignores it."""
         return self._life.step(event)
--- a/src/lovageshunt/node/control/_peer_link.py
+++ b/src/lovageshunt/node/control/_peer_link.py
@@ -1,4 +1,4 @@
-"""Sends to the admin sides of other nodes over HTTP."""
+"""HTTP client for the admin listeners of other nodes."""
 
 from typing import Final
 
@@ -13,15 +13,18 @@
 HAND_OVER_PATH: Final = '/v1/handover'
 _TIMEOUT_SECONDS: Final = 1.0
 _HTTP_OK: Final = 200
-#: What the headers of a request and its answer take on the wire.
+#: Estimated size of the headers of a request and its answer.
 _HEADER_BYTES: Final = 300
 
 
 class PeerLink:
-    """Speaks to peers; counts the bytes that it sends."""
+    """Posts JSON to peers.
+
+    ``sent_bytes`` counts bodies, plus an estimate for headers.
+    """
 
     def __init__(self, transport: Transport, token: str) -> None:
-        """Keep the transport and the token that admin sides want."""
+        """Send ``token`` as a bearer token, unless it is empty."""
         self._transport = transport
         self._headers = {'content-type': 'application/json'}
         if token:
@@ -51,7 +54,10 @@
         address: str,
         envelope: Envelope,
     ) -> Result[str, ExchangeLost]:
-        """Send an envelope; return the incarnation that took it."""
+        """Send an envelope; return the incarnation that accepted it.
+
+        The incarnation is empty when the peer refused the envelope.
+        """
         posted = await self.post(
             address,
             EXCHANGE_PATH,
--- a/src/lovageshunt/node/control/_platform_loop.py
+++ b/src/lovageshunt/node/control/_platform_loop.py
@@ -1,4 +1,4 @@
-"""Reads or watches the platform when the election says so."""
+"""Reads or watches the platform's published values on request."""
 
 from asyncio import FIRST_COMPLETED, Task, create_task, wait
 from collections.abc import Callable
@@ -18,7 +18,7 @@
     Published,
 )
 
-#: How long one watch waits for a change.
+#: Longest time that one watch waits for a change.
 _WATCH_SECONDS: Final = 30.0
 _log = getLogger(__name__)
 
@@ -26,16 +26,16 @@
 
 
 class PlatformLoop:
-    """One read or watch at a time of each published value."""
+    """Runs at most one read or watch per published value at a time."""
 
     def __init__(
         self,
         reader: PlatformReader,
         handle_event: Callable[[Record], None],
     ) -> None:
-        """Keep the reader; ``handle_event`` takes the events that follow."""
+        """Pass the resulting events to ``handle_event``."""
         self._reader = reader
-        self._tell = handle_event
+        self._handle_event = handle_event
         self._revision_by_name: dict[str, int] = {}
         self._task_by_name: dict[str, Task[_Reading]] = {}
         self._last_list: VmList | None = None
@@ -44,15 +44,15 @@
         self._first_read: Task[None] | None = None
 
     def start(self, is_watch: bool) -> None:
-        """Begin to read, or to wait for the next change."""
+        """Start a read, or a watch that waits for the next change."""
         self._runner = create_task(self._run(is_watch=is_watch))
 
     def read_rules(self) -> None:
-        """Begin to read the rules alone; peers help if that fails."""
+        """Start to read only the rules; after a failure, peers supply them."""
         self._first_read = create_task(self._read_rules())
 
     async def stop(self) -> None:
-        """Cancel what is waited for."""
+        """Cancel every read and watch in progress."""
         running = (self._runner, self._first_read)
         for task in (*running, *self._task_by_name.values()):
             if task is not None:
@@ -79,7 +79,7 @@
     async def _read_rules(self) -> None:
         reading = await self._reader.read(PUBLISHED_RULES)
         if reading.is_ok():
-            self._take(PUBLISHED_RULES, reading.ok)
+            self._accept(PUBLISHED_RULES, reading.ok)
 
     async def _read(self, name: str, *, is_watch: bool) -> _Reading:
         after = self._revision_by_name.get(name)
@@ -95,24 +95,24 @@
         for name, reading in readings.items():
             self._log_change(name, reading)
             if reading.is_ok() and reading.ok.is_news:
-                self._take(name, reading.ok)
+                self._accept(name, reading.ok)
         has_answer = any(reading.is_ok() for reading in readings.values())
         if has_answer and self._last_list is not None:
-            self._tell(ListRead(self._last_list))
+            self._handle_event(ListRead(self._last_list))
             return
-        self._tell(ListReadFailed())
+        self._handle_event(ListReadFailed())
 
     def _log_change(self, name: str, reading: _Reading) -> None:
-        """Log a failure once, not at each try, and its end."""
+        """Log the start and the end of an outage, not each failed attempt."""
         if reading.is_error():
             if name not in self._failing:
                 _log.warning('%s', reading.error)
             self._failing.add(name)
         elif name in self._failing:
             self._failing.discard(name)
-            _log.info('the platform gives %s again', name)
+            _log.info('reads of %s from the platform succeed again', name)
 
-    def _take(self, name: str, published: Published) -> None:
+    def _accept(self, name: str, published: Published) -> None:
         self._revision_by_name[name] = published.revision
         if name == PUBLISHED_VMS:
             vm_list = vm_list_of(published)
@@ -125,4 +125,4 @@
         if document.is_error():
             _log.error('%s', document.error)
             return
-        self._tell(document.ok)
+        self._handle_event(document.ok)
--- a/src/lovageshunt/node/control/_reading.py
+++ b/src/lovageshunt/node/control/_reading.py
@@ -1,4 +1,4 @@
-"""Turns what the platform publishes into events of the decisions."""
+"""Decodes the values that the platform publishes."""
 
 from typing import Any, Final
 
@@ -23,9 +23,11 @@
 def vm_list_of(
     published: Published,
 ) -> Result[VmList, MalformedMembershipError]:
-    """Return the list of VMs in a published value."""
+    """Decode the list of VMs in a published value."""
     if not isinstance(published.document, list):
-        return Error(MalformedMembershipError('the list of VMs is no list'))
+        return Error(
+            MalformedMembershipError('the list of VMs is no JSON array')
+        )
     try:
         vms = [_vm_of(fields) for fields in published.document]
     except (LookupError, TypeError, ValueError) as error:
@@ -36,7 +38,7 @@
 def document_of(
     published: Published,
 ) -> Result[DocumentRead, LovageshuntError]:
-    """Return the rules in a published value, at their version."""
+    """Decode the rules in a published value, with their version."""
     decoded = decode_document(orjson.dumps(published.document))
     if decoded.is_error():
         return Error(decoded.error)
--- a/src/lovageshunt/node/control/_service_peers.py
+++ b/src/lovageshunt/node/control/_service_peers.py
@@ -1,4 +1,4 @@
-"""The other nodes of a service, as the run-once table must know them."""
+"""The other nodes of a service, as the run-once table needs them."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -7,28 +7,27 @@
 from lovageshunt.idempotency import DepartedNode
 from lovageshunt.membership import Member
 
-#: How long a departed node may still be the home of a resent call.
-_HORIZON_SECONDS: Final = 900.0
+#: Longest time that a departed node may be the home of a resent call.
+_DEPARTED_RETENTION_SECONDS: Final = 900.0
 
 #: A node's name and its incarnation.
-_Identity = tuple[str, str]
+_NodeId = tuple[str, str]
 
 
 class ServicePeers:
-    """Follows which nodes are there, which left, and which are proved dead.
+    """Tracks which nodes are present, departed, or proved dead.
 
-    A node is proved dead when another incarnation took its name. Nothing is
-    known until the list was read once.
+    An incarnation is proved dead when another one took its name.
+    ``peers`` is ``None`` until the membership list was read once.
     """
 
     __slots__ = ('peers', '_incarnation_by_name', '_gone_at', '_dead')
 
     def __init__(self) -> None:
-        """Begin without a picture."""
         self.peers: tuple[HomeStamp, ...] | None = None
         self._incarnation_by_name: dict[str, str] = {}
-        self._gone_at: dict[_Identity, float] = {}
-        self._dead: set[_Identity] = set()
+        self._gone_at: dict[_NodeId, float] = {}
+        self._dead: set[_NodeId] = set()
 
     def update(
         self,
@@ -36,10 +35,10 @@
         departed: Iterable[Member],
         now: float,
     ) -> None:
-        """Take the members of the service as the view has them now."""
+        """Replace the present members, and add to the departed ones."""
         members = list(present)
         for member in members:
-            self._see(member, now)
+            self._record_incarnation(member, now)
         self.peers = tuple(
             HomeStamp(node=member.name, incarnation=member.incarnation)
             for member in members
@@ -52,7 +51,7 @@
         self._expire(now)
 
     def gone(self, now: float) -> tuple[DepartedNode, ...]:
-        """Return the nodes that were members lately and are no longer."""
+        """Return the nodes that departed within the last 900 s."""
         return tuple(
             DepartedNode(
                 home=HomeStamp(node=identity[0], incarnation=identity[1]),
@@ -62,7 +61,7 @@
             for identity, gone_at in self._gone_at.items()
         )
 
-    def _see(self, member: Member, now: float) -> None:
+    def _record_incarnation(self, member: Member, now: float) -> None:
         known = self._incarnation_by_name.get(member.name, '')
         if known and member.incarnation and known != member.incarnation:
             self._gone_at[(member.name, known)] = now
@@ -72,6 +71,6 @@
 
     def _expire(self, now: float) -> None:
         for identity, gone_at in tuple(self._gone_at.items()):
-            if now - gone_at > _HORIZON_SECONDS:
+            if now - gone_at > _DEPARTED_RETENTION_SECONDS:
                 self._gone_at.pop(identity)
                 self._dead.discard(identity)
--- a/src/lovageshunt/node/control/_settler.py
+++ b/src/lovageshunt/node/control/_settler.py
@@ -1,4 +1,4 @@
-"""From a node's start to the time when it takes every kind of call."""
+"""Moves a node from settling to serving."""
 
 from collections.abc import Callable
 from logging import getLogger
@@ -13,51 +13,53 @@
 
 
 class SettlingController:
-    """Lets the node serve once all peers know it, and not too young.
+    """Starts serving once all peers know the node and it is old enough.
 
-    A first attempt that was on its way when the node settled may be as old
-    as ``transit_seconds``, so the node serves that much later.
+    ``Settled`` is reported once all peers have confirmed the node. Serving
+    starts ``transit_seconds`` later, counted from ``settle_seconds`` after
+    the start at the earliest: a first attempt that was in transit when the
+    node settled may be as old as ``transit_seconds``.
     """
 
     def __init__(
         self,
-        settling: PeerConfirmations,
+        confirmations: PeerConfirmations,
         life: NodeLife,
         *,
         handle_event: Callable[[Record], None],
         settle_seconds: float,
         transit_seconds: float,
     ) -> None:
-        """Begin now; ``handle_event`` takes the events of the run-once table."""
-        self._settling = settling
+        """Pass the run-once table's events to ``handle_event``."""
+        self._confirmations = confirmations
         self._life = life
-        self._tell = handle_event
+        self._handle_event = handle_event
         self._settle_seconds = settle_seconds
         self._transit_seconds = transit_seconds
         self._is_settled = False
         self._serves_from = now() + settle_seconds
 
     async def advance(self) -> None:
-        """Go on, if the node is settling; the list must have been read."""
+        """Advance a settling node; the membership list must have been read."""
         if self._life.state != 'settling':
             return
         if not self._is_settled:
-            self._is_settled = await self._settling.is_known_to_all(now())
+            self._is_settled = await self._confirmations.is_known_to_all(now())
             if self._is_settled:
-                self._tell(Settled())
+                self._handle_event(Settled())
                 settled_at = max(now(), self._serves_from)
                 self._serves_from = settled_at + self._transit_seconds
         if self._is_settled and now() >= self._serves_from:
             self._life.step('serve')
-            _log.info('serving')
+            _log.info('settled; the node accepts calls of every kind')
 
     def restart(self) -> None:
-        """Have every peer confirm this node anew, as after a long pause.
+        """Return to settling, as after a long pause.
 
-        Peers may have forgotten it; until they confirm it, it takes no first
-        attempts of calls that must not repeat.
+        Peers may have dropped this node; until all of them confirm it again,
+        it accepts no first attempts of non-repeatable calls.
         """
         if self._life.step('settle'):
             self._is_settled = False
-            self._settling.forget()
+            self._confirmations.clear()
             self._serves_from = now() + self._settle_seconds
--- a/tests/node/control/test_fleet_view.py
+++ b/tests/node/control/test_fleet_view.py
@@ -1,4 +1,4 @@
-"""What the run-once table is told of the other nodes of its service."""
+"""The service peers that the fleet view reports to the run-once table."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
 
 
 def make_fleet_view():
-    """Return the view of n1, which has read that n2 is listed."""
+    """Return the view of n1 after it has read a list with n2."""
     identity = Identity(
         name='n1',
         service='payments',
@@ -50,8 +50,8 @@
 
 
 def announce(fleet, incarnation):
-    """Let the word of n2 about itself arrive."""
-    word = Announcement(
+    """Deliver an announcement of n2 about itself."""
+    announcement = Announcement(
         name='n2',
         service='payments',
         failure_domain='b',
@@ -60,28 +60,28 @@
         incarnation=incarnation,
     )
     fleet.handle_event(
-        BulletinReceived(Bulletin(announcements=[word], list_news=[]))
+        BulletinReceived(Bulletin(announcements=[announcement], list_news=[]))
     )
 
 
 class TestPeers:
-    """Peers and their incarnations."""
+    """Present and departed peers, by incarnation."""
 
-    def test_nothing_is_known_before_the_list(self):
-        """Without a list there is no picture, rather than an empty one."""
+    def test_peers_are_known_once_the_list_is_read(self):
+        """Peers are known, not ``None``, once the list was read."""
         fleet = make_fleet_view()
 
         assert fleet.peers.peers is not None
 
-    def test_incarnation_is_known_as_soon_as_it_is_heard(self):
-        """It does not take another reading of the list."""
+    def test_incarnation_is_known_as_soon_as_announced(self):
+        """It is updated from an announcement, without a new list."""
         fleet = make_fleet_view()
         announce(fleet, '2')
 
         assert fleet.peers.peers == (HomeStamp(node='n2', incarnation='2'),)
 
     def test_replaced_incarnation_is_remembered_as_gone(self):
-        """The next resend must be asked about it, though its name is here."""
+        """A resend must be checked against it, although n2 is present."""
         fleet = make_fleet_view()
         announce(fleet, '2')
         announce(fleet, '3')
--- a/tests/node/control/test_inquiry_codec.py
+++ b/tests/node/control/test_inquiry_codec.py
@@ -1,4 +1,4 @@
-"""The wire form of inquiries and hand-overs loses nothing."""
+"""Inquiries and hand-overs survive encoding and decoding unchanged."""
 
 import pytest
 
@@ -26,10 +26,10 @@
 
 
 class TestInquiry:
-    """Questions between nodes."""
+    """Inquiries and their answers."""
 
     def test_round_trip(self):
-        """Every field of a question arrives."""
+        """Every field of an inquiry is decoded as it was encoded."""
         inquiry = Inquire(key='k', peer=_N2, age_ms=5, number=6, digest=7)
         inquired = decode_inquiry(encode_inquiry(_N1, inquiry))
 
@@ -38,7 +38,7 @@
         assert (inquired.number, inquired.digest) == (6, 7)
 
     def test_answer_round_trip(self):
-        """Every field of an answer arrives."""
+        """Every field of an answer is decoded as it was encoded."""
         answer = InquiryAnswer(
             claim=Claim.HELD_HERE,
             answerer=_N2,
@@ -56,16 +56,16 @@
     @pytest.mark.parametrize('decode', [decode_inquiry, decode_hand_over])
     @pytest.mark.parametrize('body', [b'', b'[]', b'{}', b'{"asker": 1}'])
     def test_noise_is_a_typed_error(self, decode, body):
-        """What is no message is refused with the typed error."""
+        """A malformed message raises ``MalformedEnvelopeError``."""
         with pytest.raises(MalformedEnvelopeError):
             decode(body)
 
 
 class TestHandOver:
-    """What a leaver tells its heirs."""
+    """The call records that a leaving node sends to its peers."""
 
     def test_round_trip(self):
-        """Endings arrive with their answers, and refusals without one."""
+        """Endings keep their answers; a refused call has no ending."""
         ending = Ending(
             outcome=Outcome.FAILED,
             reason=RefusalReason.TARGET_FAILED,
--- a/tests/node/control/test_platform_loop.py
+++ b/tests/node/control/test_platform_loop.py
@@ -1,4 +1,4 @@
-"""Reading the platform in turns."""
+"""Reads of the platform, and what is logged and reported about them."""
 
 import asyncio
 import logging
@@ -15,45 +15,45 @@
 
 
 class Reader:
-    """A platform that fails when told to."""
+    """A platform reader that fails while ``is_out`` is true."""
 
     def __init__(self):
-        """Begin with an outage."""
+        """Start during an outage."""
         self.is_out = True
         self.published = Published(revision=1, document=None, is_news=False)
 
     async def read(self, name):
-        """Give nothing new, or the failure."""
+        """Return the published value, or the failure."""
         if self.is_out:
             return Error(PlatformUnavailableError(name, '127.0.0.1:1', 'gone'))
         return Ok(self.published)
 
 
-async def turn(loop):
-    """Let one reading pass."""
+async def read_once(loop):
+    """Run one read to its end."""
     loop.start(is_watch=False)
     await asyncio.sleep(0)
     await loop._runner
 
 
 async def read_rules(loop):
-    """Let the one reading of the rules pass."""
+    """Run one read of only the rules to its end."""
     loop.read_rules()
     await loop._first_read
 
 
 @pytest.mark.asyncio
 class TestPlatformLoop:
-    """``PlatformLoop``."""
+    """Logging of outages, and the read of only the rules."""
 
     async def test_log_per_change(self, caplog):
-        """An outage is logged when it begins and when it ends."""
+        """An outage is logged at its start and its end, not at each try."""
         reader = Reader()
         loop = PlatformLoop(reader, lambda event: None)
         with caplog.at_level(logging.INFO):
             for is_out in (True, True, True, False, False, True):
                 reader.is_out = is_out
-                await turn(loop)
+                await read_once(loop)
         by_level = [record.levelname for record in caplog.records]
 
         # Two values are read: the list of VMs, and the rules.
@@ -67,12 +67,12 @@
         ]
 
     async def test_rules_alone(self):
-        """The rules can be read alone; a failure of that is no event."""
+        """A read of only the rules reports them; its failure is no event."""
         reader = Reader()
-        told = []
-        loop = PlatformLoop(reader, told.append)
+        events = []
+        loop = PlatformLoop(reader, events.append)
         await read_rules(loop)
-        assert not told
+        assert not events
         reader.is_out = False
         document = encode_document(parse_sheet(SHEET).ok.document)
         reader.published = Published(
@@ -81,4 +81,4 @@
         )
         await read_rules(loop)
 
-        assert [event.version.generation for event in told] == [1]
+        assert [event.version.generation for event in events] == [1]
