--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -35,7 +35,7 @@
 from lovageshunt.node.control._peer_link import PeerLink
 from lovageshunt.node.control._platform_loop import PlatformLoop
 from lovageshunt.node.control._settler import SettlingController
-from lovageshunt.node.egress._below import CallingTargetLink, CallsBelow
+from lovageshunt.node.egress._below import CallingTargetLink, ServedCalls
 from lovageshunt.node.egress._egress import Egress
 from lovageshunt.node.serving._call_meter import CallMeter
 from lovageshunt.node.serving._calls import Calls
@@ -165,7 +165,7 @@
         self._key = read_context_key(settings.security)
         options = _options_of(settings, self._key)
         self._engine = Engine(options, self._transport, rng)
-        self._below = CallsBelow(self._engine)
+        self._below = ServedCalls(self._engine)
         self._link = PeerLink(self._transport, read_token(settings.security))
         self._outbox = PeerOutbox(self._identity, self._link)
         fleet = FleetView(
--- a/src/lovageshunt/node/egress/_below.py
+++ b/src/lovageshunt/node/egress/_below.py
@@ -39,7 +39,7 @@
         self.has_unknown = False
 
 
-class CallsBelow:
+class ServedCalls:
     """Holds one scope for each call that the target serves.
 
     The scope is found by the context header that the target got. All calls
@@ -100,7 +100,7 @@
         transport: Transport,
         health_path: str,
         load_path: str,
-        below: CallsBelow,
+        below: ServedCalls,
     ) -> None:
         """Take what a plain link takes, and where calls below are held."""
         super().__init__(
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -38,7 +38,7 @@
 )
 from lovageshunt.idempotency import Ending
 from lovageshunt.node.control._control import Control
-from lovageshunt.node.egress._below import CallBelow, CallsBelow
+from lovageshunt.node.egress._below import CallBelow, ServedCalls
 from lovageshunt.node.serving._border import Page, page_of
 from lovageshunt.node.serving._target import forwardable
 
@@ -85,7 +85,7 @@
         *,
         control: Control,
         engine: Engine,
-        below: CallsBelow,
+        below: ServedCalls,
         called_services: tuple[str, ...],
         max_body_bytes: int,
         keep_account: Callable[[bytes], None],
