--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -35,8 +35,8 @@
 from lovageshunt.node.control._peer_link import PeerLink
 from lovageshunt.node.control._platform_loop import PlatformLoop
 from lovageshunt.node.control._settler import SettlingController
-from lovageshunt.node.egress._below import CallingTargetLink, ServedCalls
 from lovageshunt.node.egress._egress import Egress
+from lovageshunt.node.egress._served_calls import CallingTargetLink, ServedCalls
 from lovageshunt.node.serving._call_meter import CallMeter
 from lovageshunt.node.serving._calls import Calls
 from lovageshunt.node.serving._ingress import Ingress
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -38,7 +38,7 @@
 )
 from lovageshunt.idempotency import Ending
 from lovageshunt.node.control._control import Control
-from lovageshunt.node.egress._below import CallBelow, ServedCalls
+from lovageshunt.node.egress._served_calls import CallBelow, ServedCalls
 from lovageshunt.node.serving._border import Page, page_of
 from lovageshunt.node.serving._target import forwardable
 
