--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -144,7 +144,7 @@
         return Egress(
             control=self._control,
             engine=self._engine,
-            below=self._below,
+            served_calls=self._below,
             called_services=self._settings.calls.services,
             max_body_bytes=self._settings.limits.body_bytes,
             keep_account=self.runtime.keep_account,
@@ -250,7 +250,7 @@
             transport=self._plain,
             health_path=target.health_path,
             load_path=target.load_path,
-            below=self._below,
+            served_calls=self._below,
         )
 
     def _build_reports(self) -> None:
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -85,7 +85,7 @@
         *,
         control: Control,
         engine: Engine,
-        below: ServedCalls,
+        served_calls: ServedCalls,
         called_services: tuple[str, ...],
         max_body_bytes: int,
         keep_account: Callable[[bytes], None],
@@ -93,7 +93,7 @@
         """Take the parts; ``keep_account`` keeps the account of a caller."""
         self._control = control
         self._engine = engine
-        self._below = below
+        self._below = served_calls
         self._services = called_services
         self._max_body_bytes = max_body_bytes
         self._keep_account = keep_account
@@ -147,8 +147,8 @@
                     'services',
                 ),
             )
-        below = self._below.find(header)
-        if below is None:
+        served_calls = self._below.find(header)
+        if served_calls is None:
             return Error(
                 _Refusal(
                     _FORBIDDEN_STATUS,
@@ -158,7 +158,7 @@
                     'the call is over',
                 ),
             )
-        return Ok(below)
+        return Ok(served_calls)
 
     def _refresh(self) -> None:
         at = now()
@@ -172,19 +172,19 @@
                 encode_snapshot(self._engine.account.snapshot(time())),
             )
 
-    async def _call(self, below: CallBelow, inbound: Inbound) -> _Reply:
+    async def _call(self, served_calls: CallBelow, inbound: Inbound) -> _Reply:
         service, path = _split(inbound.target)
-        below.has_called = True
-        making = below.scope.call(
+        served_calls.has_called = True
+        making = served_calls.scope.call(
             service,
             inbound.method,
             path,
             body=inbound.body,
             headers=forwardable(inbound.headers),
         )
-        reply = await _until_over(below, making)
+        reply = await _until_over(served_calls, making)
         if reply.is_error() and _outcome_of(reply.error) is Outcome.UNKNOWN:
-            below.has_unknown = True
+            served_calls.has_unknown = True
         return reply
 
     def _too_large(self) -> _Refusal:
@@ -197,22 +197,22 @@
 
 
 async def _until_over(
-    below: CallBelow,
+    served_calls: CallBelow,
     making: Coroutine[Any, Any, _Reply],
 ) -> _Reply:
     """Wait for a call below; it is cancelled with the call above it."""
     task: Task[_Reply] = create_task(making)
-    below.tasks.add(task)
+    served_calls.tasks.add(task)
     try:
         await wait((task,))
     finally:
         task.cancel()
-        below.tasks.discard(task)
+        served_calls.tasks.discard(task)
     if not task.cancelled():
         return task.result()
     return Error(
         call_error(
-            below.scope.request_id,
+            served_calls.scope.request_id,
             Outcome.UNKNOWN,
             RefusalReason.CANCELLED,
             _ENDED_RETRY_MS,
@@ -220,7 +220,7 @@
     )
 
 
-async def _answer(send: Send, below: CallBelow, reply: _Reply) -> None:
+async def _answer(send: Send, served_calls: CallBelow, reply: _Reply) -> None:
     if reply.is_ok():
         page = _page_of_answer(reply.ok)
         ending = Ending(outcome=Outcome.ANSWERED)
@@ -229,11 +229,11 @@
         reason = RefusalReason(reply.error.reason)
         ending = Ending(outcome=_outcome_of(reply.error), reason=reason)
         wait_ms = reply.error.retry_after_ms
-        page = page_of(below.scope.context, ending, wait_ms)
+        page = page_of(served_calls.scope.context, ending, wait_ms)
     # The id is that of the call above, so that a target which copies every
     # header into its own answer states nothing about another call.
     said = AnswerInfo(
-        call_id=below.scope.call_id,
+        call_id=served_calls.scope.call_id,
         outcome=ending.outcome,
         reason=ending.reason,
         retry_after_ms=wait_ms,
--- a/src/lovageshunt/node/egress/_served_calls.py
+++ b/src/lovageshunt/node/egress/_served_calls.py
@@ -63,26 +63,28 @@
 
     def close(self, header: str) -> CallBelow:
         """Expect no more, and cancel what still runs."""
-        below = self._by_header.pop(header)
-        for task in tuple(below.tasks):
+        served_calls = self._by_header.pop(header)
+        for task in tuple(served_calls.tasks):
             task.cancel()
-        return below
+        return served_calls
 
-    def joined(self, reply: TargetReply, below: CallBelow) -> TargetReply:
+    def joined(
+        self, reply: TargetReply, served_calls: CallBelow
+    ) -> TargetReply:
         """Return the target's reply with what its calls below came to."""
-        if not below.has_called:
+        if not served_calls.has_called:
             return reply
-        outcome = _outcome(reply, below)
+        outcome = _outcome(reply, served_calls)
         reply.outcome = outcome
         reply.info = AnswerInfo(
-            call_id=below.scope.call_id,
+            call_id=served_calls.scope.call_id,
             outcome=outcome,
             reason=reply.reason,
             retry_after_ms=reply.retry_after_ms,
-            unspent=below.scope.unspent,
+            unspent=served_calls.scope.unspent,
             threshold_by_service=self._engine.thresholds.advertised(
                 now(),
-                below.scope.asked,
+                served_calls.scope.asked,
             ),
         )
         if reply.reason is None and outcome is not Outcome.ANSWERED:
@@ -100,7 +102,7 @@
         transport: Transport,
         health_path: str,
         load_path: str,
-        below: ServedCalls,
+        served_calls: ServedCalls,
     ) -> None:
         """Take what a plain link takes, and where calls below are held."""
         super().__init__(
@@ -109,7 +111,7 @@
             health_path=health_path,
             load_path=load_path,
         )
-        self._below = below
+        self._below = served_calls
 
     async def dispatch(
         self,
@@ -132,11 +134,11 @@
                 is_repeatable=is_repeatable,
             )
         finally:
-            below = self._below.close(header)
-        return self._below.joined(reply, below)
+            served_calls = self._below.close(header)
+        return self._below.joined(reply, served_calls)
 
 
-def _outcome(reply: TargetReply, below: CallBelow) -> Outcome:
-    if reply.outcome is Outcome.FAILED and below.has_unknown:
+def _outcome(reply: TargetReply, served_calls: CallBelow) -> Outcome:
+    if reply.outcome is Outcome.FAILED and served_calls.has_unknown:
         return Outcome.UNKNOWN
     return _OUTCOME_BY_STATED.get(reply.outcome, reply.outcome)
