--- a/src/lovageshunt/node/egress/__init__.py
+++ b/src/lovageshunt/node/egress/__init__.py
@@ -1,1 +1,1 @@
-"""The calls that the target makes through its node."""
+"""Egress: the calls that the target makes through its node."""
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -1,4 +1,4 @@
-"""Calls of a target that does not embed the library, in any language."""
+"""HTTP listener for the calls of a target that does not embed the library."""
 
 from asyncio import Task, create_task, wait
 from collections.abc import Callable, Coroutine
@@ -38,14 +38,16 @@
 )
 from lovageshunt.idempotency import Ending
 from lovageshunt.node.control._control import Control
-from lovageshunt.node.egress._served_calls import CallBelow, ServedCalls
+from lovageshunt.node.egress._served_calls import ServedCall, ServedCalls
 from lovageshunt.node.serving._border import Page, page_of
 from lovageshunt.node.serving._target import forwardable
 
-#: How long a picture of members and rules is used before it is taken anew.
-_VIEW_SECONDS: Final = 0.2
-_ACCOUNT_SECONDS: Final = 10.0
-_ENDED_RETRY_MS: Final = 1000
+#: Maximum age of the snapshot of members and rules.
+_VIEW_INTERVAL_SECONDS: Final = 0.2
+#: Interval at which the account of the target's calls is stored.
+_ACCOUNT_INTERVAL_SECONDS: Final = 10.0
+#: Retry delay for a downstream call cancelled with the call above it.
+_CANCELLED_RETRY_AFTER_MS: Final = 1000
 _BAD_REQUEST_STATUS: Final = 400
 _FORBIDDEN_STATUS: Final = 403
 _NOT_FOUND_STATUS: Final = 404
@@ -57,7 +59,7 @@
 
 
 class _Refusal(Record):
-    """Why a request was not taken, with its remedy."""
+    """Why a request was refused; ``message`` names the remedy."""
 
     __slots__ = ('status', 'reason', 'message')
 
@@ -73,11 +75,12 @@
 
 
 class Egress:
-    """Makes the calls of the target beside this node.
+    """Makes calls for the target beside this node (an ASGI application).
 
-    A request ``/SERVICE/PATH`` brings the context header of a call that the
-    target serves right now. One without is refused: it would open a root
-    request whose importance its caller chose, and retries of its own.
+    A request for ``/SERVICE/PATH`` must present the context header of a call
+    that the target is serving. Without it the request would become a root
+    request with an importance of its own choice and its own retry budget,
+    so it is refused.
     """
 
     def __init__(
@@ -90,10 +93,10 @@
         max_body_bytes: int,
         keep_account: Callable[[bytes], None],
     ) -> None:
-        """Take the parts; ``keep_account`` keeps the account of a caller."""
+        """Store the account of these calls by ``keep_account``."""
         self._control = control
         self._engine = engine
-        self._below = served_calls
+        self._served_calls = served_calls
         self._services = called_services
         self._max_body_bytes = max_body_bytes
         self._keep_account = keep_account
@@ -106,7 +109,7 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Serve one request of the target."""
+        """Serve one HTTP request of the target."""
         if scope['type'] != 'http':
             return
         reading = await read_inbound(scope, receive, self._max_body_bytes)
@@ -120,20 +123,20 @@
             await _refuse(send, found.error)
             return
         self._refresh()
-        calling = self._call(found.ok, inbound)
-        reply = await until_disconnect(receive, calling)
+        pending_reply = self._call(found.ok, inbound)
+        reply = await until_disconnect(receive, pending_reply)
         if reply is not None:
             await _answer(send, found.ok, reply)
 
-    def _find(self, inbound: Inbound) -> Result[CallBelow, _Refusal]:
+    def _find(self, inbound: Inbound) -> Result[ServedCall, _Refusal]:
         header = inbound.headers.get(CONTEXT_HEADER)
         if header is None:
             return Error(
                 _Refusal(
                     _BAD_REQUEST_STATUS,
                     RefusalReason.MALFORMED,
-                    f'no {CONTEXT_HEADER} header; pass on the one of the '
-                    'call that the target serves',
+                    f'the {CONTEXT_HEADER} header is missing; pass on the '
+                    'one of the call that the target is serving',
                 ),
             )
         service, _ = _split(inbound.target)
@@ -142,85 +145,84 @@
                 _Refusal(
                     _NOT_FOUND_STATUS,
                     RefusalReason.NO_TARGET,
-                    f'{service!r} is not among the services that the target '
-                    'calls; ask for /SERVICE/PATH and name it in [calls] '
-                    'services',
+                    f'service {service!r} is not listed in [calls] services; '
+                    'add it there, and request /SERVICE/PATH',
                 ),
             )
-        served_calls = self._below.find(header)
-        if served_calls is None:
+        served = self._served_calls.find(header)
+        if served is None:
             return Error(
                 _Refusal(
                     _FORBIDDEN_STATUS,
                     RefusalReason.FORBIDDEN,
-                    f'the {CONTEXT_HEADER} header is that of no call which '
-                    'the target serves now; pass it on as it came, before '
-                    'the call is over',
+                    f'the {CONTEXT_HEADER} header matches no call that the '
+                    'target is serving; pass it on unchanged, before the '
+                    'call ends',
                 ),
             )
-        return Ok(served_calls)
+        return Ok(served)
 
     def _refresh(self) -> None:
         at = now()
-        if at - self._view_at >= _VIEW_SECONDS:
+        if at - self._view_at >= _VIEW_INTERVAL_SECONDS:
             self._view_at = at
             view = self._control.client_view(self._services)
             self._engine.adopt(view, at)
-        if at - self._account_at >= _ACCOUNT_SECONDS:
+        if at - self._account_at >= _ACCOUNT_INTERVAL_SECONDS:
             self._account_at = at
             self._keep_account(
                 encode_snapshot(self._engine.account.snapshot(time())),
             )
 
-    async def _call(self, served_calls: CallBelow, inbound: Inbound) -> _Reply:
+    async def _call(self, served: ServedCall, inbound: Inbound) -> _Reply:
         service, path = _split(inbound.target)
-        served_calls.has_called = True
-        making = served_calls.scope.call(
+        served.has_called = True
+        pending_call = served.scope.call(
             service,
             inbound.method,
             path,
             body=inbound.body,
             headers=forwardable(inbound.headers),
         )
-        reply = await _until_over(served_calls, making)
+        reply = await _await_downstream(served, pending_call)
         if reply.is_error() and _outcome_of(reply.error) is Outcome.UNKNOWN:
-            served_calls.has_unknown = True
+            served.has_unknown = True
         return reply
 
     def _too_large(self) -> _Refusal:
         return _Refusal(
             _TOO_LARGE_STATUS,
             RefusalReason.MALFORMED,
-            f'the body is over {self._max_body_bytes} bytes; send less, or '
-            'raise [limits] body_bytes',
+            f'the request body exceeds {self._max_body_bytes} bytes; send '
+            'less, or raise [limits] body_bytes',
         )
 
 
-async def _until_over(
-    served_calls: CallBelow,
-    making: Coroutine[Any, Any, _Reply],
+async def _await_downstream(
+    served: ServedCall,
+    pending_call: Coroutine[Any, Any, _Reply],
 ) -> _Reply:
-    """Wait for a call below; it is cancelled with the call above it."""
-    task: Task[_Reply] = create_task(making)
-    served_calls.tasks.add(task)
+    """Await a downstream call; it is cancelled with the served call."""
+    task: Task[_Reply] = create_task(pending_call)
+    served.tasks.add(task)
     try:
         await wait((task,))
     finally:
         task.cancel()
-        served_calls.tasks.discard(task)
+        served.tasks.discard(task)
     if not task.cancelled():
         return task.result()
     return Error(
         call_error(
-            served_calls.scope.request_id,
+            served.scope.request_id,
             Outcome.UNKNOWN,
             RefusalReason.CANCELLED,
-            _ENDED_RETRY_MS,
+            _CANCELLED_RETRY_AFTER_MS,
         ),
     )
 
 
-async def _answer(send: Send, served_calls: CallBelow, reply: _Reply) -> None:
+async def _answer(send: Send, served: ServedCall, reply: _Reply) -> None:
     if reply.is_ok():
         page = _page_of_answer(reply.ok)
         ending = Ending(outcome=Outcome.ANSWERED)
@@ -229,17 +231,17 @@
         reason = RefusalReason(reply.error.reason)
         ending = Ending(outcome=_outcome_of(reply.error), reason=reason)
         wait_ms = reply.error.retry_after_ms
-        page = page_of(served_calls.scope.context, ending, wait_ms)
-    # The id is that of the call above, so that a target which copies every
-    # header into its own answer states nothing about another call.
-    said = AnswerInfo(
-        call_id=served_calls.scope.call_id,
+        page = page_of(served.scope.context, ending, wait_ms)
+    # The id is that of the served call: a target that copies every header
+    # into its own answer then makes no statement about another call.
+    info = AnswerInfo(
+        call_id=served.scope.call_id,
         outcome=ending.outcome,
         reason=ending.reason,
         retry_after_ms=wait_ms,
         body_length=len(page.body),
     )
-    page.headers.append((_ANSWER_NAME, encode_answer(said).encode()))
+    page.headers.append((_ANSWER_NAME, encode_answer(info).encode()))
     await respond(
         send,
         status=page.status,
--- a/src/lovageshunt/node/egress/_served_calls.py
+++ b/src/lovageshunt/node/egress/_served_calls.py
@@ -1,4 +1,4 @@
-"""What the target calls through this node for the calls that it serves."""
+"""Links the calls that the target makes to the calls that it serves."""
 
 from asyncio import Task
 from collections.abc import Mapping
@@ -18,73 +18,75 @@
 from lovageshunt.clock import now
 from lovageshunt.node.serving._target import TargetLink, TargetReply
 
-#: What the target's own outcome becomes once it has called others: nothing
-#: of its call can be said not to have run.
-_OUTCOME_BY_STATED: Final = MappingProxyType(
+#: Replaces the outcome that the target states once it has called others: it
+#: can no longer claim that its call did not run.
+_OUTCOME_AFTER_CALLS: Final = MappingProxyType(
     {Outcome.NOT_RUN: Outcome.FAILED},
 )
 
 
-class CallBelow(Record):
-    """A call that the target serves, and what was called for it."""
+class ServedCall(Record):
+    """A call that the target serves, with its downstream calls.
+
+    ``tasks`` are the downstream calls in progress. ``has_unknown`` is true
+    when one of them ended without a known outcome.
+    """
 
     __slots__ = ('scope', 'tasks', 'has_called', 'has_unknown')
 
     def __init__(self, *, scope: CallScope) -> None:
-        """Begin with nothing called."""
         self.scope = scope
         self.tasks: set[Task[Any]] = set()
         self.has_called = False
-        #: Whether a call below ended without a known outcome.
         self.has_unknown = False
 
 
 class ServedCalls:
     """Holds one scope for each call that the target serves.
 
-    The scope is found by the context header that the target got. All calls
-    that bring it divide one share of retries, and are cancelled when the
-    call is over.
+    The context header that the target received is the key. All downstream
+    calls that present it share one retry budget, and are cancelled when the
+    served call ends.
     """
 
     def __init__(self, engine: Engine) -> None:
-        """Begin with no call served."""
         self._engine = engine
-        self._by_header: dict[str, CallBelow] = {}
+        self._by_header: dict[str, ServedCall] = {}
 
     def open(self, header: str, context: CallContext) -> None:
-        """Expect calls that bring the header."""
+        """Accept downstream calls that present the header."""
         scope = CallScope(self._engine, context, is_root=False)
-        self._by_header[header] = CallBelow(scope=scope)
+        self._by_header[header] = ServedCall(scope=scope)
 
-    def find(self, header: str) -> CallBelow | None:
-        """Return the call that a header belongs to while it is served."""
+    def find(self, header: str) -> ServedCall | None:
+        """Return the call of a header, or ``None`` if it is not served now."""
         return self._by_header.get(header)
 
-    def close(self, header: str) -> CallBelow:
-        """Expect no more, and cancel what still runs."""
-        served_calls = self._by_header.pop(header)
-        for task in tuple(served_calls.tasks):
+    def close(self, header: str) -> ServedCall:
+        """Accept no more downstream calls, and cancel those in progress."""
+        served = self._by_header.pop(header)
+        for task in tuple(served.tasks):
             task.cancel()
-        return served_calls
+        return served
 
-    def joined(
-        self, reply: TargetReply, served_calls: CallBelow
-    ) -> TargetReply:
-        """Return the target's reply with what its calls below came to."""
-        if not served_calls.has_called:
+    def merge(self, reply: TargetReply, served: ServedCall) -> TargetReply:
+        """Merge the result of the downstream calls into the target's reply.
+
+        The reply is changed in place, unless there were no such calls.
+        """
+        if not served.has_called:
             return reply
-        outcome = _outcome(reply, served_calls)
+        outcome = _merged_outcome(reply, served)
         reply.outcome = outcome
         reply.info = AnswerInfo(
-            call_id=served_calls.scope.call_id,
+            call_id=served.scope.call_id,
             outcome=outcome,
             reason=reply.reason,
             retry_after_ms=reply.retry_after_ms,
-            unspent=served_calls.scope.unspent,
+            unspent=served.scope.unspent,
             threshold_by_service=self._engine.thresholds.advertised(
                 now(),
-                served_calls.scope.asked,
+                served.scope.asked,
             ),
         )
         if reply.reason is None and outcome is not Outcome.ANSWERED:
@@ -93,7 +95,7 @@
 
 
 class CallingTargetLink(TargetLink):
-    """Speaks to a target that calls others through this node."""
+    """Link to a target that calls other services through this node."""
 
     def __init__(
         self,
@@ -104,14 +106,14 @@
         load_path: str,
         served_calls: ServedCalls,
     ) -> None:
-        """Take what a plain link takes, and where calls below are held."""
+        """Register each dispatched call with ``served_calls``."""
         super().__init__(
             address=address,
             transport=transport,
             health_path=health_path,
             load_path=load_path,
         )
-        self._below = served_calls
+        self._served_calls = served_calls
 
     async def dispatch(
         self,
@@ -122,9 +124,9 @@
         timeout_seconds: float,
         is_repeatable: bool,
     ) -> TargetReply:
-        """Send a call to the target, and let it call others meanwhile."""
+        """Send a call to the target, which may call others until it replies."""
         header = headers[CONTEXT_HEADER]
-        self._below.open(header, decode_context(header))
+        self._served_calls.open(header, decode_context(header))
         try:
             reply = await super().dispatch(
                 inbound,
@@ -134,11 +136,11 @@
                 is_repeatable=is_repeatable,
             )
         finally:
-            served_calls = self._below.close(header)
-        return self._below.joined(reply, served_calls)
+            served = self._served_calls.close(header)
+        return self._served_calls.merge(reply, served)
 
 
-def _outcome(reply: TargetReply, served_calls: CallBelow) -> Outcome:
-    if reply.outcome is Outcome.FAILED and served_calls.has_unknown:
+def _merged_outcome(reply: TargetReply, served: ServedCall) -> Outcome:
+    if reply.outcome is Outcome.FAILED and served.has_unknown:
         return Outcome.UNKNOWN
-    return _OUTCOME_BY_STATED.get(reply.outcome, reply.outcome)
+    return _OUTCOME_AFTER_CALLS.get(reply.outcome, reply.outcome)
--- a/tests/node/egress/test_egress.py
+++ b/tests/node/egress/test_egress.py
@@ -1,4 +1,4 @@
-"""Targets that embed no library call others through their node."""
+"""Targets that do not embed the library call others through their node."""
 
 import asyncio
 
@@ -16,29 +16,31 @@
     """A raw target that calls stock through the egress of its node."""
 
     def __init__(self):
-        """Call once for each request, and pass on what comes."""
+        """Call stock once per request, and return its answer."""
         self.egress = ''
         self.paths = ('/stock/count?of=rice',)
         self.headers = None
         self.answer_headers = []
         self.header = ''
         self.calls = []
-        self.told = []
+        self.replies = []
 
     async def __call__(self, scope, receive, send):
         """Serve one request of the node."""
         await read_body(receive)
-        got = {name.decode(): text.decode() for name, text in scope['headers']}
+        headers = {
+            name.decode(): text.decode() for name, text in scope['headers']
+        }
         if scope['path'] in ('/health', '/load'):
             await answer(send, 404)
             return
-        self.header = got[CONTEXT]
+        self.header = headers[CONTEXT]
         for path in self.paths:
             status, body = await self.call(path)
         await answer(send, status, body, self.answer_headers)
 
     async def call(self, path):
-        """Make one call as any HTTP client does."""
+        """Make one call as a plain HTTP client."""
         headers = self.headers
         if headers is None:
             headers = {CONTEXT: self.header}
@@ -48,7 +50,7 @@
                 f'http://{self.egress}{path}', headers=headers
             ) as reply,
         ):
-            self.told.append(reply)
+            self.replies.append(reply)
             return reply.status, await reply.read()
 
 
@@ -56,7 +58,7 @@
     """A raw target that answers, fails or hangs."""
 
     def __init__(self):
-        """Begin with answering."""
+        """Answer 200 until a test says otherwise."""
         self.status = 200
         self.contexts = []
         self.paths = []
@@ -69,8 +71,10 @@
         if scope['path'] in ('/health', '/load'):
             await answer(send, 404)
             return
-        got = {name.decode(): text.decode() for name, text in scope['headers']}
-        self.contexts.append(orjson.loads(got[CONTEXT]))
+        headers = {
+            name.decode(): text.decode() for name, text in scope['headers']
+        }
+        self.contexts.append(orjson.loads(headers[CONTEXT]))
         self.paths.append((scope['path'], scope['query_string']))
         if self.seconds:
             message = await receive()
@@ -82,7 +86,7 @@
 
 @pytest.fixture(scope='module')
 def targets():
-    """Return the target that calls and the one that is called."""
+    """Return the calling and the called target."""
     return Shop(), Stock()
 
 
@@ -98,20 +102,20 @@
 
 @pytest.fixture
 def shop(targets):
-    """Return the target that calls, as new."""
+    """Return the calling target, reset."""
     targets[0].__init__()
     return targets[0]
 
 
 @pytest.fixture
 def stock(targets):
-    """Return the target that is called, as new."""
+    """Return the called target, reset."""
     targets[1].__init__()
     return targets[1]
 
 
 async def ask(nodes, shop, **headers):
-    """Send one request to the shop as a caller without the library does."""
+    """Send one request to the shop without the client library."""
     shop.egress = nodes['shop-1'].egress
     async with (
         aiohttp.ClientSession() as session,
@@ -122,17 +126,17 @@
             },
         ) as reply,
     ):
-        said = orjson.loads(reply.headers['lovageshunt-answer'])
-        return reply.status, said, await reply.read()
+        info = orjson.loads(reply.headers['lovageshunt-answer'])
+        return reply.status, info, await reply.read()
 
 
 @pytest.mark.asyncio(loop_scope='module')
 class TestEgress:
-    """The node makes the calls of its target."""
+    """The node makes calls for its target."""
 
     async def test_whole_answer(self, nodes, shop, stock):
-        """A call below is answered whole and inherits the request."""
-        status, said, body = await ask(nodes, shop)
+        """A downstream call is answered and inherits request attributes."""
+        status, info, body = await ask(nodes, shop)
 
         assert (status, body) == (200, b'{"rice": 3}')
         assert stock.paths == [('/count', b'of=rice')]
@@ -140,12 +144,14 @@
         for name in ('request_id', 'importance', 'rank'):
             assert inner[name] == outer[name]
         assert (
-            orjson.loads(shop.told[0].headers['lovageshunt-answer'])['outcome']
+            orjson.loads(shop.replies[0].headers['lovageshunt-answer'])[
+                'outcome'
+            ]
             == 'answered'
         )
 
     async def test_retries_are_divided(self, nodes, shop, stock):
-        """Calls that bring one context share its retries."""
+        """Calls that present one context share its retry budget."""
         shop.paths = ('/stock/count',) * 4
         await ask(nodes, shop)
         shares = [context['retries_left'] for context in stock.contexts]
@@ -154,10 +160,10 @@
         assert 0 < sum(shares) <= orjson.loads(shop.header)['retries_left']
 
     async def test_failure_is_typed(self, nodes, shop, stock):
-        """A failure below comes with its outcome and when to come back."""
+        """A downstream failure has its outcome and a retry delay."""
         stock.status = 500
-        status, said, _ = await ask(nodes, shop)
-        reply = shop.told[0]
+        status, info, _ = await ask(nodes, shop)
+        reply = shop.replies[0]
 
         assert reply.status == 502
         assert int(reply.headers['retry-after']) > 0
@@ -165,10 +171,10 @@
             orjson.loads(reply.headers['lovageshunt-answer'])['outcome']
             == 'failed'
         )
-        assert said['outcome'] == 'failed'
+        assert info['outcome'] == 'failed'
 
-    async def test_gone_target_is_not_run(self, nodes, shop):
-        """A service that is not called by settings is refused with words."""
+    async def test_unlisted_service_is_refused(self, nodes, shop):
+        """A service that is not in the settings is refused with a remedy."""
         shop.paths = ('/prices/all',)
         status, _, body = await ask(nodes, shop)
 
@@ -176,7 +182,7 @@
         assert '[calls] services' in orjson.loads(body)['message']
 
     async def test_without_context(self, nodes, shop, stock):
-        """A call without a context opens no root request of its own."""
+        """A call without a context starts no root request; it is refused."""
         shop.headers = {}
         status, _, body = await ask(nodes, shop)
 
@@ -185,7 +191,7 @@
         assert not stock.contexts
 
     async def test_forged_context(self, nodes, shop, stock):
-        """A context that the node did not give is refused."""
+        """A context that the node did not issue is refused."""
         await ask(nodes, shop)
         forged = orjson.loads(shop.header)
         forged['importance'] = 0
@@ -196,16 +202,18 @@
         assert orjson.loads(body)['reason'] == 'forbidden'
         assert len(stock.contexts) == 1
 
-    async def test_not_run_is_not_claimed(self, nodes, shop, stock):
-        """A target that has called others cannot state that nothing ran."""
+    async def test_not_run_is_not_accepted_after_a_call(
+        self, nodes, shop, stock
+    ):
+        """After a downstream call the target cannot claim *not run*."""
         shop.answer_headers = [(b'lovageshunt-not-run', b'1')]
-        _, said, _ = await ask(nodes, shop)
+        _, info, _ = await ask(nodes, shop)
 
         assert len(stock.contexts) == 1
-        assert said['outcome'] == 'failed'
+        assert info['outcome'] == 'failed'
 
     async def test_late_call(self, nodes, shop, stock):
-        """A call that comes after its request is over is refused."""
+        """A downstream call after the end of its request is refused."""
         await ask(nodes, shop)
         status, _ = await shop.call('/stock/count')
 
@@ -213,7 +221,7 @@
         assert len(stock.contexts) == 1
 
     async def test_abandoned_request(self, nodes, shop, stock):
-        """When the caller goes away, the call below is cancelled."""
+        """When the caller disconnects, the downstream call is cancelled."""
         stock.seconds = 5
         asking = asyncio.create_task(ask(nodes, shop))
         while not stock.contexts:
@@ -225,7 +233,7 @@
         assert len(stock.contexts) == 1
 
     async def test_target_hangs_up(self, nodes, shop, stock):
-        """When the target drops its call, the call below is cancelled."""
+        """When the target drops its call, the node cancels it downstream."""
         stock.seconds = 5
         asking = asyncio.create_task(ask(nodes, shop))
         while not stock.contexts:
