--- a/bench/_protected.py
+++ b/bench/_protected.py
@@ -13,14 +13,14 @@
     Action,
     Admission,
     AdmissionSettings,
+    AdmissionTicked,
+    Admit,
     Arrived,
     CallerThresholds,
     Cancelled,
-    Dispatch,
     Event,
     Finished,
     Refuse,
-    Ticked,
 )
 from lovageshunt.calls import AnswerInfo, Outcome, RefusalReason
 
@@ -88,7 +88,7 @@
         self._handle(Cancelled(call.call_id))
 
     def _tick(self) -> None:
-        self._handle(Ticked())
+        self._handle(AdmissionTicked())
         loop = self.network.loop
         loop.at(
             max(self.admission.next_wake(loop.now), loop.now + 0.001),
@@ -104,7 +104,7 @@
         raise NotImplementedError(type(action).__name__)
 
     @_do.register
-    def _dispatch(self, action: Dispatch) -> None:
+    def _dispatch(self, action: Admit) -> None:
         call, reply = self._waiting.pop(action.call_id)
         self._running[call.call_id] = (call, reply)
         self.target.run(call, partial(self._finish, call))
--- a/src/lovageshunt/admission/__init__.py
+++ b/src/lovageshunt/admission/__init__.py
@@ -5,15 +5,15 @@
 from lovageshunt.admission._events import (
     Abort,
     Action,
+    AdmissionTicked,
+    Admit,
     Arrived,
     Cancelled,
-    Dispatch,
     DrainStarted,
     Event,
     Finished,
     LoadReported,
     Refuse,
-    Ticked,
 )
 from lovageshunt.admission._levels import OPEN_THRESHOLD, is_refused
 from lovageshunt.admission._settings import AdmissionSettings, CallerSettings
@@ -25,17 +25,17 @@
     'Action',
     'Admission',
     'AdmissionSettings',
+    'AdmissionTicked',
+    'Admit',
     'Arrived',
     'CallerSettings',
     'CallerThresholds',
     'Cancelled',
-    'Dispatch',
     'DrainStarted',
     'Event',
     'Finished',
     'LoadReported',
     'Refuse',
     'TargetQueue',
-    'Ticked',
     'is_refused',
 ]
--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -30,13 +30,13 @@
 from lovageshunt.node.control._identity import Identity
 from lovageshunt.node.control._inquiries import Inquiries
 from lovageshunt.node.control._life import NodeLife
-from lovageshunt.node.control._outbox import Outbox
+from lovageshunt.node.control._outbox import PeerOutbox
+from lovageshunt.node.control._peer_confirmations import PeerConfirmations
 from lovageshunt.node.control._peer_link import PeerLink
 from lovageshunt.node.control._platform_loop import PlatformLoop
-from lovageshunt.node.control._settler import Settler
-from lovageshunt.node.control._settling import Settling
-from lovageshunt.node.egress._below import CallingTargetLink, CallsBelow
+from lovageshunt.node.control._settler import SettlingController
 from lovageshunt.node.egress._egress import Egress
+from lovageshunt.node.egress._served_calls import CallingTargetLink, ServedCalls
 from lovageshunt.node.serving._call_meter import CallMeter
 from lovageshunt.node.serving._calls import Calls
 from lovageshunt.node.serving._ingress import Ingress
@@ -144,7 +144,7 @@
         return Egress(
             control=self._control,
             engine=self._engine,
-            below=self._below,
+            served_calls=self._below,
             called_services=self._settings.calls.services,
             max_body_bytes=self._settings.limits.body_bytes,
             keep_account=self.runtime.keep_account,
@@ -165,9 +165,9 @@
         self._key = read_context_key(settings.security)
         options = _options_of(settings, self._key)
         self._engine = Engine(options, self._transport, rng)
-        self._below = CallsBelow(self._engine)
+        self._below = ServedCalls(self._engine)
         self._link = PeerLink(self._transport, read_token(settings.security))
-        self._outbox = Outbox(self._identity, self._link)
+        self._outbox = PeerOutbox(self._identity, self._link)
         fleet = FleetView(
             identity=self._identity,
             called_services=settings.calls.services,
@@ -187,7 +187,7 @@
                 addresses=tuple(map(str, settings.platform.addresses)),
                 transport=self._plain,
             ),
-            self._control.tell,
+            self._control.handle_event,
         )
         fleet.read_platform = self._platform.start
         self._control.read_rules = self._platform.read_rules
@@ -250,7 +250,7 @@
             transport=self._plain,
             health_path=target.health_path,
             load_path=target.load_path,
-            below=self._below,
+            served_calls=self._below,
         )
 
     def _build_reports(self) -> None:
@@ -279,10 +279,10 @@
             target=self._target,
             keeping=self._keeping,
             pauses=self._metrics.cell('lovageshunt_pauses_total'),
-            settler=Settler(
-                Settling(self._control, self._outbox, self._link),
+            settler=SettlingController(
+                PeerConfirmations(self._control, self._outbox, self._link),
                 self._life,
-                tell=self._calls.handle,
+                handle_event=self._calls.handle,
                 settle_seconds=limits.settle_seconds,
                 transit_seconds=limits.transit_seconds,
             ),
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -27,9 +27,9 @@
 from lovageshunt.node.control._identity import Identity
 from lovageshunt.node.control._inquiries import Inquiries, wait_for_answer
 from lovageshunt.node.control._life import NodeLife
-from lovageshunt.node.control._settler import Settler
+from lovageshunt.node.control._settler import SettlingController
 from lovageshunt.node.gate._gate import Gate
-from lovageshunt.node.gate._messages import LeaveBegun, TimePassed
+from lovageshunt.node.gate._messages import GateTicked, LeaveBegun
 from lovageshunt.node.serving._calls import Calls
 from lovageshunt.node.serving._errands import Errands
 from lovageshunt.node.serving._target import TargetLink
@@ -60,7 +60,7 @@
         target: TargetLink,
         keeping: AccountKeeping,
         pauses: Cell,
-        settler: Settler,
+        settler: SettlingController,
         life: NodeLife,
         leave_seconds: float,
         drain_seconds: float,
@@ -123,7 +123,7 @@
             self._pauses.value += 1
             _log.warning('the process was paused for %.1f s', gap)
             self._calls.handle(Resumed(gap_seconds=gap))
-            self._control.tell(PauseEnded())
+            self._control.handle_event(PauseEnded())
             self._settler.restart()
 
     def handle(self, event: Record) -> None:
@@ -131,10 +131,10 @@
         self.observe()
         self._calls.handle(event)
 
-    def take(self, envelope: Envelope) -> None:
+    def receive_envelope(self, envelope: Envelope) -> None:
         """Take what a peer sent."""
         self.observe()
-        self._control.take(envelope)
+        self._control.receive_envelope(envelope)
         for raw in envelope.snapshots:
             self.keep_account(raw)
         if envelope.suspects:
@@ -151,7 +151,7 @@
         peers = self._control.fleet.peers
         question.peers = peers.peers or ()
         question.gone = peers.gone(now())
-        answer = self._inquiries.expect(
+        answer = self._inquiries.expect_answer(
             question.key,
             question.asker,
             question.number,
@@ -179,10 +179,10 @@
 
     async def _turn(self) -> None:
         self.observe()
-        self._calls.handle(TimePassed())
+        self._calls.handle(GateTicked())
         self._tick_control()
         if self._has_list:
-            self._errands.begin('settle', self._settler.turn)
+            self._errands.begin('settle', self._settler.advance)
         if now() >= self._load_at:
             self._load_at = now() + _LOAD_SECONDS
             self._errands.begin('load', self._read_load)
@@ -216,7 +216,7 @@
         tick = KeepingTick(
             now=now(),
             wall_time=time(),
-            peers=self._control.keeping_peers(),
+            peers=self._control.account_peers(),
         )
         self._control.send_snapshots(self._keeping.handle(tick))
 
@@ -233,7 +233,7 @@
         closed = AccountClosed(
             now=now(),
             wall_time=time(),
-            peers=self._control.keeping_peers(),
+            peers=self._control.account_peers(),
         )
         self._control.send_snapshots(self._keeping.handle(closed))
         await self._inquiries.flush()
@@ -241,7 +241,7 @@
 
     async def _leaving_turn(self) -> None:
         self.observe()
-        self._calls.handle(TimePassed())
+        self._calls.handle(GateTicked())
         self._tick_control()
         await sleep(TICK_SECONDS)
 
--- a/src/lovageshunt/node/serving/_calls.py
+++ b/src/lovageshunt/node/serving/_calls.py
@@ -153,7 +153,7 @@
 
     @_act.register
     def _on_answer(self, action: AnswerInquiry) -> None:
-        self._inquiries.answered(action)
+        self._inquiries.resolve_answer(action)
 
     @_act.register
     def _on_hand_over(self, action: HandOver) -> None:
@@ -161,7 +161,7 @@
 
     @_act.register
     def _on_tell(self, action: NotifyPeers) -> None:
-        self._inquiries.tell_suspects(action.reports)
+        self._inquiries.report_suspects(action.reports)
 
     async def _inquire(self, action: Inquire) -> None:
         self.handle(await self._inquiries.ask(action))
--- a/src/lovageshunt/sidecar/_executor.py
+++ b/src/lovageshunt/sidecar/_executor.py
@@ -8,16 +8,16 @@
 from lovageshunt.admission import (
     Abort,
     Action,
+    AdmissionTicked,
+    Admit,
     Arrived,
     Cancelled,
-    Dispatch,
     DrainStarted,
     Event,
     Finished,
     LoadReported,
     Refuse,
     TargetQueue,
-    Ticked,
 )
 from lovageshunt.calls import Outcome, RefusalReason, level_of
 from lovageshunt.clock import now as clock_now
@@ -184,14 +184,14 @@
 
     def _on_tick(self) -> None:
         self._tick = None
-        self._handle(Ticked())
+        self._handle(AdmissionTicked())
 
     @singledispatchmethod
     def _perform(self, action: Action) -> None:
         raise TypeError(type(action).__name__)
 
     @_perform.register
-    def _dispatch(self, action: Dispatch) -> None:
+    def _dispatch(self, action: Admit) -> None:
         run = self._run_by_call_id[action.call_id]
         run.sent_at = clock_now()
         self._repeats_running += run.is_repeat
--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -5,7 +5,7 @@
 
 from lovageshunt.node._runtime import Runtime
 from lovageshunt.node.control._life import NodeLife
-from lovageshunt.node.gate._messages import TimePassed
+from lovageshunt.node.gate._messages import GateTicked
 
 _TURNS = 3
 _ENOUGH_SECONDS = 3
@@ -21,7 +21,7 @@
 
     def handle(self, event):
         """Count a turn; tell when there were enough."""
-        self.turns += isinstance(event, TimePassed)
+        self.turns += isinstance(event, GateTicked)
         if self.turns >= _TURNS:
             self.has_turned.set()
 
@@ -37,7 +37,7 @@
     control = SimpleNamespace(
         fleet=fleet,
         tick=lambda: None,
-        keeping_peers=list,
+        account_peers=list,
         send_snapshots=lambda sends: None,
     )
     return Runtime(
@@ -49,7 +49,7 @@
         target=SimpleNamespace(load=hang),
         keeping=SimpleNamespace(handle=lambda event: []),
         pauses=SimpleNamespace(value=0),
-        settler=SimpleNamespace(turn=hang, restart=lambda: None),
+        settler=SimpleNamespace(advance=hang, restart=lambda: None),
         life=NodeLife(),
         leave_seconds=0,
         drain_seconds=0,
