--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -45,7 +45,10 @@
     INQUIRY_PATH,
     PeerLink,
 )
-from lovageshunt.node.serving._border import Admissible, forwarded_context
+from lovageshunt.node.serving._http_boundary import (
+    Admissible,
+    forwarded_context,
+)
 from lovageshunt.node.serving._target import forwardable, passing_headers
 from lovageshunt.retries import SuspectReport
 
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -39,7 +39,7 @@
 from lovageshunt.idempotency import Ending
 from lovageshunt.node.control._control import Control
 from lovageshunt.node.egress._below import CallBelow, CallsBelow
-from lovageshunt.node.serving._border import Page, page_of
+from lovageshunt.node.serving._http_boundary import Page, page_of
 from lovageshunt.node.serving._target import forwardable
 
 #: How long a picture of members and rules is used before it is taken anew.
--- a/src/lovageshunt/node/serving/_call_meter.py
+++ b/src/lovageshunt/node/serving/_call_meter.py
@@ -7,8 +7,8 @@
 from lovageshunt.calls import LOWEST_IMPORTANCE, Outcome, RefusalReason
 from lovageshunt.clock import now
 from lovageshunt.node.gate._messages import Reply
-from lovageshunt.node.serving._border import Admissible
 from lovageshunt.node.serving._call import CallInProgress
+from lovageshunt.node.serving._http_boundary import Admissible
 from lovageshunt.observability import ActiveSpan, Metrics, Traces
 from lovageshunt.rules import KindRule
 
--- a/src/lovageshunt/node/serving/_calls.py
+++ b/src/lovageshunt/node/serving/_calls.py
@@ -27,7 +27,6 @@
     Forward,
     Reply,
 )
-from lovageshunt.node.serving._border import Admissible
 from lovageshunt.node.serving._call import CallInProgress
 from lovageshunt.node.serving._call_meter import CallMeter
 from lovageshunt.node.serving._forwarder import (
@@ -35,6 +34,7 @@
     ended_by,
     outcome_if_cancelled,
 )
+from lovageshunt.node.serving._http_boundary import Admissible
 from lovageshunt.node.serving._target import TargetLink, TargetReply
 from lovageshunt.observability import ActiveSpan
 from lovageshunt.retries import NotifyPeers
--- a/src/lovageshunt/node/serving/_forwarder.py
+++ b/src/lovageshunt/node/serving/_forwarder.py
@@ -15,8 +15,8 @@
 from lovageshunt.idempotency import Ending, StoredAnswer
 from lovageshunt.node.control._identity import Identity
 from lovageshunt.node.gate._messages import CallEnded, TargetDown
-from lovageshunt.node.serving._border import forwarded_context
 from lovageshunt.node.serving._call import CallInProgress
+from lovageshunt.node.serving._http_boundary import forwarded_context
 from lovageshunt.node.serving._target import (
     TargetLink,
     TargetReply,
--- a/src/lovageshunt/node/serving/_ingress.py
+++ b/src/lovageshunt/node/serving/_ingress.py
@@ -34,7 +34,10 @@
 from lovageshunt.node.control._control import Control
 from lovageshunt.node.gate._gate import Gate
 from lovageshunt.node.gate._messages import CallArrived, Reply
-from lovageshunt.node.serving._border import (
+from lovageshunt.node.serving._call import CallInProgress
+from lovageshunt.node.serving._call_meter import CallMeter
+from lovageshunt.node.serving._calls import Calls
+from lovageshunt.node.serving._http_boundary import (
     Admissible,
     admissible_of,
     fingerprint_of,
@@ -42,9 +45,6 @@
     refusal_body,
     stated_ending,
 )
-from lovageshunt.node.serving._call import CallInProgress
-from lovageshunt.node.serving._call_meter import CallMeter
-from lovageshunt.node.serving._calls import Calls
 from lovageshunt.rules import KindRule
 
 _MS_PER_SECOND: Final = 1000
--- a/tests/node/serving/test_border.py
+++ b/tests/node/serving/test_border.py
@@ -5,7 +5,7 @@
 from lovageshunt.calls import Outcome, RefusalReason
 from lovageshunt.client import Inbound
 from lovageshunt.idempotency import Ending
-from lovageshunt.node.serving._border import (
+from lovageshunt.node.serving._http_boundary import (
     admissible_of,
     fingerprint_of,
     page_of,
--- a/tests/node/serving/test_calls.py
+++ b/tests/node/serving/test_calls.py
@@ -13,8 +13,8 @@
     Forward,
     TargetDown,
 )
-from lovageshunt.node.serving._border import Admissible
 from lovageshunt.node.serving._calls import Calls
+from lovageshunt.node.serving._http_boundary import Admissible
 from lovageshunt.node.serving._target import TargetReply
 from lovageshunt.rules import default_kind
 
--- a/tests/node/serving/test_signed_contexts.py
+++ b/tests/node/serving/test_signed_contexts.py
@@ -11,7 +11,7 @@
     rank_of,
 )
 from lovageshunt.client import Inbound
-from lovageshunt.node.serving._border import admissible_of
+from lovageshunt.node.serving._http_boundary import admissible_of
 from lovageshunt.rules import KindRule
 
 KEY = ContextKey(b'the key of the fleet')
