--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -39,7 +39,7 @@
 from lovageshunt.idempotency import Ending
 from lovageshunt.node.control._control import Control
 from lovageshunt.node.egress._below import CallBelow, CallsBelow
-from lovageshunt.node.serving._http_boundary import Page, page_of
+from lovageshunt.node.serving._http_boundary import HttpResponse, page_of
 from lovageshunt.node.serving._target import forwardable
 
 #: How long a picture of members and rules is used before it is taken anew.
@@ -259,8 +259,8 @@
     await respond(send, status=refusal.status, headers=[_JSON], body=body)
 
 
-def _page_of_answer(answer: Answer) -> Page:
-    return Page(
+def _page_of_answer(answer: Answer) -> HttpResponse:
+    return HttpResponse(
         status=answer.status,
         headers=[
             (name.lower().encode('latin-1'), text.encode('latin-1'))
--- a/src/lovageshunt/node/serving/_http_boundary.py
+++ b/src/lovageshunt/node/serving/_http_boundary.py
@@ -47,7 +47,7 @@
 _STATUS_BEYOND_BOUND: Final = 429
 
 
-class Page(Record):
+class HttpResponse(Record):
     """An HTTP answer, with names and values of headers as bytes."""
 
     __slots__ = ('status', 'headers', 'body')
@@ -139,11 +139,11 @@
     context: CallContext,
     ending: Ending,
     retry_after_ms: int,
-) -> Page:
+) -> HttpResponse:
     """Return the HTTP answer for an ending; the target's own if it has one."""
     page = _stored_page(ending.answer)
     if page is None:
-        page = Page(
+        page = HttpResponse(
             status=_status_of(ending),
             headers=[(b'content-type', b'application/json')],
             body=refusal_body(context.request_id, ending, retry_after_ms),
@@ -155,10 +155,10 @@
     return page
 
 
-def _stored_page(stored: StoredAnswer | None) -> Page | None:
+def _stored_page(stored: StoredAnswer | None) -> HttpResponse | None:
     if stored is None:
         return None
-    return Page(
+    return HttpResponse(
         status=stored.status,
         headers=[
             (name.lower().encode('latin-1'), text.encode('latin-1'))
