--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -39,7 +39,7 @@
 from lovageshunt.idempotency import Ending
 from lovageshunt.node.control._control import Control
 from lovageshunt.node.egress._below import CallBelow, CallsBelow
-from lovageshunt.node.serving._http_boundary import HttpResponse, page_of
+from lovageshunt.node.serving._http_boundary import HttpResponse, response_of
 from lovageshunt.node.serving._target import forwardable
 
 #: How long a picture of members and rules is used before it is taken anew.
@@ -229,7 +229,7 @@
         reason = RefusalReason(reply.error.reason)
         ending = Ending(outcome=_outcome_of(reply.error), reason=reason)
         wait_ms = reply.error.retry_after_ms
-        page = page_of(below.scope.context, ending, wait_ms)
+        page = response_of(below.scope.context, ending, wait_ms)
     # The id is that of the call above, so that a target which copies every
     # header into its own answer states nothing about another call.
     said = AnswerInfo(
--- a/src/lovageshunt/node/serving/_http_boundary.py
+++ b/src/lovageshunt/node/serving/_http_boundary.py
@@ -135,7 +135,7 @@
     return Ending(outcome=Outcome.FAILED, reason=ending.reason)
 
 
-def page_of(
+def response_of(
     context: CallContext,
     ending: Ending,
     retry_after_ms: int,
--- a/src/lovageshunt/node/serving/_ingress.py
+++ b/src/lovageshunt/node/serving/_ingress.py
@@ -41,8 +41,8 @@
     Admissible,
     admissible_of,
     fingerprint_of,
-    page_of,
     refusal_body,
+    response_of,
     stated_ending,
 )
 from lovageshunt.rules import KindRule
@@ -227,7 +227,7 @@
         ending = stated_ending(call.admissible, reply.ending)
         is_answered = ending.outcome is Outcome.ANSWERED
         wait_ms = 0 if is_answered else reply.retry_after_ms
-        page = page_of(call.admissible.context, ending, wait_ms)
+        page = response_of(call.admissible.context, ending, wait_ms)
         said = self._said(call, ending, wait_ms, len(page.body))
         page.headers.append((_ANSWER_NAME, encode_answer(said).encode()))
         await respond(
--- a/tests/node/serving/test_border.py
+++ b/tests/node/serving/test_border.py
@@ -8,7 +8,7 @@
 from lovageshunt.node.serving._http_boundary import (
     admissible_of,
     fingerprint_of,
-    page_of,
+    response_of,
     stated_ending,
 )
 from lovageshunt.rules import KindRule
@@ -98,7 +98,7 @@
             outcome=Outcome.NOT_RUN,
             reason=RefusalReason.OVERLOAD,
         )
-        page = page_of(call.ok.context, refused, 1200)
+        page = response_of(call.ok.context, refused, 1200)
 
         assert (b'retry-after', b'2') in page.headers
         assert page.status == 503
