--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -46,7 +46,7 @@
     PeerLink,
 )
 from lovageshunt.node.serving._http_boundary import (
-    Admissible,
+    ParsedCall,
     forwarded_context,
 )
 from lovageshunt.node.serving._target import forwardable, passing_headers
@@ -149,7 +149,7 @@
     async def redirect(
         self,
         inbound: Inbound,
-        admissible: Admissible,
+        admissible: ParsedCall,
         action: Redirect,
         *,
         seconds_left: float,
--- a/src/lovageshunt/node/serving/_call.py
+++ b/src/lovageshunt/node/serving/_call.py
@@ -4,7 +4,7 @@
 
 from lovageshunt.client import Inbound
 from lovageshunt.node.gate._messages import Reply
-from lovageshunt.node.serving._http_boundary import Admissible
+from lovageshunt.node.serving._http_boundary import ParsedCall
 from lovageshunt.node.serving._target import TargetReply
 from lovageshunt.observability import ActiveSpan
 
@@ -33,7 +33,7 @@
         *,
         ticket: str,
         inbound: Inbound,
-        admissible: Admissible,
+        admissible: ParsedCall,
         span: ActiveSpan,
         arrived_at: float,
         deadline: float,
--- a/src/lovageshunt/node/serving/_call_meter.py
+++ b/src/lovageshunt/node/serving/_call_meter.py
@@ -8,7 +8,7 @@
 from lovageshunt.clock import now
 from lovageshunt.node.gate._messages import Reply
 from lovageshunt.node.serving._call import CallInProgress
-from lovageshunt.node.serving._http_boundary import Admissible
+from lovageshunt.node.serving._http_boundary import ParsedCall
 from lovageshunt.observability import ActiveSpan, Metrics, Traces
 from lovageshunt.rules import KindRule
 
@@ -44,7 +44,7 @@
             for importance in _IMPORTANCES
         ]
 
-    def arrived(self, admissible: Admissible) -> ActiveSpan:
+    def arrived(self, admissible: ParsedCall) -> ActiveSpan:
         """Count a call that arrived, and begin its span."""
         context = admissible.context
         kind = admissible.rule.kind
--- a/src/lovageshunt/node/serving/_calls.py
+++ b/src/lovageshunt/node/serving/_calls.py
@@ -34,7 +34,7 @@
     ended_by,
     outcome_if_cancelled,
 )
-from lovageshunt.node.serving._http_boundary import Admissible
+from lovageshunt.node.serving._http_boundary import ParsedCall
 from lovageshunt.node.serving._target import TargetLink, TargetReply
 from lovageshunt.observability import ActiveSpan
 from lovageshunt.retries import NotifyPeers
@@ -80,7 +80,7 @@
     def begin(
         self,
         inbound: Inbound,
-        admissible: Admissible,
+        admissible: ParsedCall,
         span: ActiveSpan,
         *,
         arrived_at: float,
--- a/src/lovageshunt/node/serving/_http_boundary.py
+++ b/src/lovageshunt/node/serving/_http_boundary.py
@@ -65,7 +65,7 @@
         self.body = body
 
 
-class Admissible(Record):
+class ParsedCall(Record):
     """A call as the gate takes it.
 
     ``is_external`` marks a caller that does not embed the library, and so
@@ -91,7 +91,7 @@
     inbound: Inbound,
     rule: KindRule,
     key: ContextKey | None = None,
-) -> Result[Admissible, RefusalReason]:
+) -> Result[ParsedCall, RefusalReason]:
     """Return the call in a request, or why there is none.
 
     With a key, a context that no holder of it made is of an outside caller.
@@ -105,10 +105,10 @@
         return Error(RefusalReason.MALFORMED)
     if not is_known:
         return _outside(context, rule)
-    return Ok(Admissible(context=context, rule=rule, is_external=False))
+    return Ok(ParsedCall(context=context, rule=rule, is_external=False))
 
 
-def fingerprint_of(inbound: Inbound, admissible: Admissible) -> str:
+def fingerprint_of(inbound: Inbound, admissible: ParsedCall) -> str:
     """Return what requests of the same content have in common.
 
     A call that must not repeat stands for itself alone: another of the same
@@ -120,7 +120,7 @@
     return xxh3_64_hexdigest(head.encode() + inbound.body)
 
 
-def stated_ending(admissible: Admissible, ending: Ending) -> Ending:
+def stated_ending(admissible: ParsedCall, ending: Ending) -> Ending:
     """Return the ending that the caller may be told.
 
     A caller without the library takes *not run* for its whole request, but
@@ -210,7 +210,7 @@
 def _outside(
     context: CallContext,
     rule: KindRule,
-) -> Result[Admissible, RefusalReason]:
+) -> Result[ParsedCall, RefusalReason]:
     """Give a call that nobody vouches for what the rules say.
 
     Who it is and what it asks stays: an outcome is told under the same ids.
@@ -222,13 +222,13 @@
     context.rank = rank_of(context.request_id)
     context.retries_left = 0 if share is None else share.retries
     context.timeout_ms = min(context.timeout_ms, rule.timeout_ms)
-    return Ok(Admissible(context=context, rule=rule, is_external=True))
+    return Ok(ParsedCall(context=context, rule=rule, is_external=True))
 
 
 def _external(
     inbound: Inbound,
     rule: KindRule,
-) -> Result[Admissible, RefusalReason]:
+) -> Result[ParsedCall, RefusalReason]:
     headers = inbound.headers
     request_id = headers.get(REQUEST_ID_HEADER, '')
     attempt = _count(headers.get(ATTEMPT_HEADER), 0 if request_id else 1)
@@ -253,7 +253,7 @@
         retries_left=0 if share is None else share.retries,
         trace_parent=headers.get('traceparent', ''),
     )
-    return Ok(Admissible(context=context, rule=rule, is_external=True))
+    return Ok(ParsedCall(context=context, rule=rule, is_external=True))
 
 
 def _count(text: str | None, default: int) -> int:
--- a/src/lovageshunt/node/serving/_ingress.py
+++ b/src/lovageshunt/node/serving/_ingress.py
@@ -38,7 +38,7 @@
 from lovageshunt.node.serving._call_meter import CallMeter
 from lovageshunt.node.serving._calls import Calls
 from lovageshunt.node.serving._http_boundary import (
-    Admissible,
+    ParsedCall,
     admissible_of,
     fingerprint_of,
     refusal_body,
@@ -176,7 +176,7 @@
         )
 
     def _begin(
-        self, inbound: Inbound, admissible: Admissible
+        self, inbound: Inbound, admissible: ParsedCall
     ) -> CallInProgress:
         self._observe()
         at = now()
--- a/tests/node/serving/test_calls.py
+++ b/tests/node/serving/test_calls.py
@@ -14,7 +14,7 @@
     TargetDown,
 )
 from lovageshunt.node.serving._calls import Calls
-from lovageshunt.node.serving._http_boundary import Admissible
+from lovageshunt.node.serving._http_boundary import ParsedCall
 from lovageshunt.node.serving._target import TargetReply
 from lovageshunt.rules import default_kind
 
@@ -72,7 +72,7 @@
     rule.is_repeatable = True
     call = calls.begin(
         Inbound(method='GET', path='/', target='/', headers={}, body=b''),
-        Admissible(context=context, rule=rule, is_external=False),
+        ParsedCall(context=context, rule=rule, is_external=False),
         SimpleNamespace(trace_parent=''),
         arrived_at=now(),
         deadline=now() + 1,
