--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -149,7 +149,7 @@
     async def redirect(
         self,
         inbound: Inbound,
-        admissible: ParsedCall,
+        parsed: ParsedCall,
         action: Redirect,
         *,
         seconds_left: float,
@@ -163,11 +163,11 @@
         if address is None:
             return _in_doubt()
         context = forwarded_context(
-            admissible.context,
+            parsed.context,
             home=action.stamp,
             seconds_left=seconds_left,
             elapsed_seconds=held_seconds,
-            trace_parent=admissible.context.trace_parent,
+            trace_parent=parsed.context.trace_parent,
         )
         context.attempt = action.attempt
         headers = forwardable(inbound.headers)
--- a/src/lovageshunt/node/serving/_call.py
+++ b/src/lovageshunt/node/serving/_call.py
@@ -15,7 +15,7 @@
     __slots__ = (
         'ticket',
         'inbound',
-        'admissible',
+        'parsed',
         'span',
         'arrived_at',
         'deadline',
@@ -33,7 +33,7 @@
         *,
         ticket: str,
         inbound: Inbound,
-        admissible: ParsedCall,
+        parsed: ParsedCall,
         span: ActiveSpan,
         arrived_at: float,
         deadline: float,
@@ -41,7 +41,7 @@
         """Begin with nobody having replied."""
         self.ticket = ticket
         self.inbound = inbound
-        self.admissible = admissible
+        self.parsed = parsed
         self.span = span
         self.arrived_at = arrived_at
         self.deadline = deadline
--- a/src/lovageshunt/node/serving/_call_meter.py
+++ b/src/lovageshunt/node/serving/_call_meter.py
@@ -44,16 +44,16 @@
             for importance in _IMPORTANCES
         ]
 
-    def arrived(self, admissible: ParsedCall) -> ActiveSpan:
+    def arrived(self, parsed: ParsedCall) -> ActiveSpan:
         """Count a call that arrived, and begin its span."""
-        context = admissible.context
-        kind = admissible.rule.kind
+        context = parsed.context
+        kind = parsed.rule.kind
         self._account.arrived(
             self._service,
             kind,
             context.importance,
             is_retry=context.attempt > 1,
-            is_external=admissible.is_external,
+            is_external=parsed.is_external,
         )
         return self._traces.start(
             f'{self._service} {kind}',
@@ -83,11 +83,11 @@
     def ended(self, call: CallInProgress, reply: Reply) -> None:
         """Count how a call ended, and end its span."""
         ending = reply.ending
-        context = call.admissible.context
+        context = call.parsed.context
         is_answered = ending.outcome is Outcome.ANSWERED
         self._account.ended(
             self._service,
-            call.admissible.rule.kind,
+            call.parsed.rule.kind,
             context.importance,
             ending.outcome,
             ending.reason,
--- a/src/lovageshunt/node/serving/_calls.py
+++ b/src/lovageshunt/node/serving/_calls.py
@@ -73,14 +73,13 @@
     def request_ids(self) -> list[str]:
         """Return the requests whose calls are in progress."""
         return sorted(
-            call.admissible.context.request_id
-            for call in self._by_ticket.values()
+            call.parsed.context.request_id for call in self._by_ticket.values()
         )
 
     def begin(
         self,
         inbound: Inbound,
-        admissible: ParsedCall,
+        parsed: ParsedCall,
         span: ActiveSpan,
         *,
         arrived_at: float,
@@ -90,7 +89,7 @@
         call = CallInProgress(
             ticket=str(next(self._numbers)),
             inbound=inbound,
-            admissible=admissible,
+            parsed=parsed,
             span=span,
             arrived_at=arrived_at,
             deadline=deadline,
@@ -186,7 +185,7 @@
     async def _redirect(self, call: CallInProgress, action: Redirect) -> None:
         ending = await self._inquiries.redirect(
             call.inbound,
-            call.admissible,
+            call.parsed,
             action,
             seconds_left=call.deadline - now(),
             held_seconds=now() - call.arrived_at,
--- a/src/lovageshunt/node/serving/_forwarder.py
+++ b/src/lovageshunt/node/serving/_forwarder.py
@@ -49,8 +49,8 @@
 
     async def forward(self, call: CallInProgress) -> TargetReply:
         """Send a call and return what came back."""
-        context = call.admissible.context
-        rule = call.admissible.rule
+        context = call.parsed.context
+        rule = call.parsed.rule
         at = now()
         sent = forwarded_context(
             context,
@@ -88,7 +88,7 @@
 
 def outcome_if_cancelled(call: CallInProgress) -> Outcome:
     """Return what is known of a call that is cancelled before its reply."""
-    is_repeatable = call.admissible.rule.is_repeatable
+    is_repeatable = call.parsed.rule.is_repeatable
     return Outcome.FAILED if is_repeatable else Outcome.UNKNOWN
 
 
--- a/src/lovageshunt/node/serving/_http_boundary.py
+++ b/src/lovageshunt/node/serving/_http_boundary.py
@@ -108,28 +108,28 @@
     return Ok(ParsedCall(context=context, rule=rule, is_external=False))
 
 
-def fingerprint_of(inbound: Inbound, admissible: ParsedCall) -> str:
+def fingerprint_of(inbound: Inbound, parsed: ParsedCall) -> str:
     """Return what requests of the same content have in common.
 
     A call that must not repeat stands for itself alone: another of the same
     content is another purchase, not a resend.
     """
     head = f'{inbound.method} {inbound.target} '
-    if not admissible.rule.is_repeatable:
-        head = f'{head}{admissible.context.call_id} '
+    if not parsed.rule.is_repeatable:
+        head = f'{head}{parsed.context.call_id} '
     return xxh3_64_hexdigest(head.encode() + inbound.body)
 
 
-def stated_ending(admissible: ParsedCall, ending: Ending) -> Ending:
+def stated_ending(parsed: ParsedCall, ending: Ending) -> Ending:
     """Return the ending that the caller may be told.
 
     A caller without the library takes *not run* for its whole request, but
     an earlier attempt of a repeatable one may have run.
     """
-    is_first = admissible.context.attempt == 1
-    if is_first or not admissible.is_external:
+    is_first = parsed.context.attempt == 1
+    if is_first or not parsed.is_external:
         return ending
-    is_repeatable = admissible.rule.is_repeatable
+    is_repeatable = parsed.rule.is_repeatable
     if ending.outcome is not Outcome.NOT_RUN or not is_repeatable:
         return ending
     return Ending(outcome=Outcome.FAILED, reason=ending.reason)
--- a/src/lovageshunt/node/serving/_ingress.py
+++ b/src/lovageshunt/node/serving/_ingress.py
@@ -126,19 +126,19 @@
         send: Send,
     ) -> None:
         rule = self._rule_of(inbound.method, inbound.path)
-        admissible = admissible_of(inbound, rule, self._key)
-        if admissible.is_error():
-            is_bound = admissible.error is RefusalReason.RETRY_BOUND
+        parsed = admissible_of(inbound, rule, self._key)
+        if parsed.is_error():
+            is_bound = parsed.error is RefusalReason.RETRY_BOUND
             status = _BOUND_STATUS if is_bound else _BAD_REQUEST_STATUS
             await self._turn_away(
                 rule,
                 send,
-                reason=admissible.error,
+                reason=parsed.error,
                 status=status,
                 is_external=_is_external(scope),
             )
             return
-        call = self._begin(inbound, admissible.ok)
+        call = self._begin(inbound, parsed.ok)
         if call.reply is None:
             waiting = self._wait(call)
             if await until_disconnect(receive, waiting) is None:
@@ -175,31 +175,29 @@
             body=refusal_body('', ending, _REFUSED_RETRY_MS),
         )
 
-    def _begin(
-        self, inbound: Inbound, admissible: ParsedCall
-    ) -> CallInProgress:
+    def _begin(self, inbound: Inbound, parsed: ParsedCall) -> CallInProgress:
         self._observe()
         at = now()
         call = self._calls.begin(
             inbound,
-            admissible,
-            self._meter.arrived(admissible),
+            parsed,
+            self._meter.arrived(parsed),
             arrived_at=at,
-            deadline=at + admissible.context.timeout_ms / _MS_PER_SECOND,
+            deadline=at + parsed.context.timeout_ms / _MS_PER_SECOND,
         )
         self._calls.handle(self._arrival(call))
         return call
 
     def _arrival(self, call: CallInProgress) -> CallArrived:
         peers = self._control.fleet.peers
-        is_repeatable = call.admissible.rule.is_repeatable
+        is_repeatable = call.parsed.rule.is_repeatable
         # Only the run-once table asks who is gone.
         gone = () if is_repeatable else peers.gone(call.arrived_at)
         return CallArrived(
             ticket=call.ticket,
-            context=call.admissible.context,
+            context=call.parsed.context,
             is_repeatable=is_repeatable,
-            fingerprint=fingerprint_of(call.inbound, call.admissible),
+            fingerprint=fingerprint_of(call.inbound, call.parsed),
             deadline=call.deadline,
             peers=peers.peers,
             gone=gone,
@@ -224,10 +222,10 @@
         reply: Reply,
         send: Send,
     ) -> None:
-        ending = stated_ending(call.admissible, reply.ending)
+        ending = stated_ending(call.parsed, reply.ending)
         is_answered = ending.outcome is Outcome.ANSWERED
         wait_ms = 0 if is_answered else reply.retry_after_ms
-        page = response_of(call.admissible.context, ending, wait_ms)
+        page = response_of(call.parsed.context, ending, wait_ms)
         said = self._said(call, ending, wait_ms, len(page.body))
         page.headers.append((_ANSWER_NAME, encode_answer(said).encode()))
         await respond(
@@ -244,7 +242,7 @@
         wait_ms: int,
         body_length: int,
     ) -> AnswerInfo:
-        context = call.admissible.context
+        context = call.parsed.context
         return AnswerInfo(
             call_id=context.call_id,
             outcome=ending.outcome,
@@ -265,7 +263,7 @@
         asked = None
         if reply is not None and reply.info is not None:
             asked = reply.info.threshold_by_service
-        kind = call.admissible.context.kind
+        kind = call.parsed.context.kind
         return self._gate.threshold_by_service(kind, asked, now())
 
     async def _take_account(self, inbound: Inbound, send: Send) -> None:
@@ -304,11 +302,11 @@
     if reply is None:
         # Nothing was sent on, so nothing of the share was spent.
         is_sent = call.forwarded_at is not None
-        return 0 if is_sent else call.admissible.context.retries_left
+        return 0 if is_sent else call.parsed.context.retries_left
     return 0 if reply.info is None else reply.info.unspent
 
 
 def _suspicion(call: CallInProgress) -> int:
     reply = call.target_reply
     was_cut = reply is not None and reply.was_cut
-    return call.admissible.context.suspicion + was_cut
+    return call.parsed.context.suspicion + was_cut
