--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -49,7 +49,7 @@
     ParsedCall,
     forwarded_context,
 )
-from lovageshunt.node.serving._target import forwardable, passing_headers
+from lovageshunt.node.serving._target import end_to_end_headers, passing_headers
 from lovageshunt.retries import SuspectReport
 
 _ANSWER_SECONDS: Final = 1.0
@@ -170,7 +170,7 @@
             trace_parent=parsed.context.trace_parent,
         )
         context.attempt = action.attempt
-        headers = forwardable(inbound.headers)
+        headers = end_to_end_headers(inbound.headers)
         headers[CONTEXT_HEADER] = encode_context(context, self._key)
         exchange = await self._transport.send(
             address=address,
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -40,7 +40,7 @@
 from lovageshunt.node.control._control import Control
 from lovageshunt.node.egress._below import CallBelow, CallsBelow
 from lovageshunt.node.serving._http_boundary import HttpResponse, response_of
-from lovageshunt.node.serving._target import forwardable
+from lovageshunt.node.serving._target import end_to_end_headers
 
 #: How long a picture of members and rules is used before it is taken anew.
 _VIEW_SECONDS: Final = 0.2
@@ -180,7 +180,7 @@
             inbound.method,
             path,
             body=inbound.body,
-            headers=forwardable(inbound.headers),
+            headers=end_to_end_headers(inbound.headers),
         )
         reply = await _until_over(below, making)
         if reply.is_error() and _outcome_of(reply.error) is Outcome.UNKNOWN:
@@ -264,7 +264,7 @@
         status=answer.status,
         headers=[
             (name.lower().encode('latin-1'), text.encode('latin-1'))
-            for name, text in forwardable(answer.headers).items()
+            for name, text in end_to_end_headers(answer.headers).items()
         ],
         body=answer.body,
     )
--- a/src/lovageshunt/node/serving/_forwarder.py
+++ b/src/lovageshunt/node/serving/_forwarder.py
@@ -20,7 +20,7 @@
 from lovageshunt.node.serving._target import (
     TargetLink,
     TargetReply,
-    forwardable,
+    end_to_end_headers,
     passing_headers,
 )
 
@@ -59,7 +59,7 @@
             elapsed_seconds=at - call.arrived_at,
             trace_parent=call.span.trace_parent,
         )
-        headers = forwardable(call.inbound.headers)
+        headers = end_to_end_headers(call.inbound.headers)
         headers[CONTEXT_HEADER] = encode_context(sent, self._key)
         reply = await self._target.dispatch(
             call.inbound,
--- a/src/lovageshunt/node/serving/_target.py
+++ b/src/lovageshunt/node/serving/_target.py
@@ -175,7 +175,7 @@
         )
 
 
-def forwardable(headers: Mapping[str, str]) -> dict[str, str]:
+def end_to_end_headers(headers: Mapping[str, str]) -> dict[str, str]:
     """Return the headers that pass from hop to hop."""
     return {
         name: text
