--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -49,7 +49,10 @@
     ParsedCall,
     forwarded_context,
 )
-from lovageshunt.node.serving._target import end_to_end_headers, passing_headers
+from lovageshunt.node.serving._target import (
+    end_to_end_headers,
+    end_to_end_items,
+)
 from lovageshunt.retries import SuspectReport
 
 _ANSWER_SECONDS: Final = 1.0
@@ -207,7 +210,7 @@
         reason=said.reason,
         answer=StoredAnswer(
             status=whole.status,
-            headers=passing_headers(whole.headers),
+            headers=end_to_end_items(whole.headers),
             body=whole.body,
         ),
     )
--- a/src/lovageshunt/node/serving/_forwarder.py
+++ b/src/lovageshunt/node/serving/_forwarder.py
@@ -21,7 +21,7 @@
     TargetLink,
     TargetReply,
     end_to_end_headers,
-    passing_headers,
+    end_to_end_items,
 )
 
 _log = getLogger(__name__)
@@ -115,6 +115,6 @@
         return None
     return StoredAnswer(
         status=whole.status,
-        headers=passing_headers(whole.headers),
+        headers=end_to_end_items(whole.headers),
         body=whole.body,
     )
--- a/src/lovageshunt/node/serving/_target.py
+++ b/src/lovageshunt/node/serving/_target.py
@@ -184,7 +184,7 @@
     }
 
 
-def passing_headers(
+def end_to_end_items(
     headers: Mapping[str, str],
 ) -> tuple[tuple[str, str], ...]:
     """Return what passes of an answer's headers; names may repeat."""
--- a/tests/node/serving/test_target.py
+++ b/tests/node/serving/test_target.py
@@ -12,7 +12,7 @@
     encode_answer,
 )
 from lovageshunt.client import Inbound, Transport
-from lovageshunt.node.serving._target import TargetLink, passing_headers
+from lovageshunt.node.serving._target import TargetLink, end_to_end_items
 from tests.client.wire import exchange_with
 
 _INBOUND = Inbound(
@@ -162,5 +162,5 @@
             )
 
         reply = await dispatch(cookies)
-        passing = passing_headers(reply.whole.headers)
+        passing = end_to_end_items(reply.whole.headers)
         assert [text for _, text in passing] == ['a=1', 'b=2']
