--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -102,7 +102,7 @@
             calls=self._calls,
             meter=self._meter,
             max_body_bytes=self._settings.limits.body_bytes,
-            observe=self.runtime.observe,
+            check_for_pause=self.runtime.observe,
             keep_account=self.runtime.keep_account,
             calls_below=bool(self._settings.calls.services),
             key=self._key,
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -30,8 +30,8 @@
 from lovageshunt.node.control._settler import Settler
 from lovageshunt.node.gate._gate import Gate
 from lovageshunt.node.gate._messages import LeaveBegun, TimePassed
+from lovageshunt.node.serving._background import BackgroundJobs
 from lovageshunt.node.serving._calls import Calls
-from lovageshunt.node.serving._errands import Errands
 from lovageshunt.node.serving._target import TargetLink
 from lovageshunt.observability import Cell
 from lovageshunt.retries import PeerReported
@@ -88,7 +88,7 @@
         self._control_at = now()
         self._accounts_at = now()
         self._leaving = Event()
-        self._errands = Errands()
+        self._errands = BackgroundJobs()
         self._drained_by: float | None = None
         control.fleet.leave = self.begin_leave
 
@@ -182,10 +182,10 @@
         self._calls.handle(TimePassed())
         self._tick_control()
         if self._has_list:
-            self._errands.begin('settle', self._settler.turn)
+            self._errands.start('settle', self._settler.turn)
         if now() >= self._load_at:
             self._load_at = now() + _LOAD_SECONDS
-            self._errands.begin('load', self._read_load)
+            self._errands.start('load', self._read_load)
         self._send_accounts()
         await sleep(TICK_SECONDS)
 
--- a/src/lovageshunt/node/serving/__init__.py
+++ b/src/lovageshunt/node/serving/__init__.py
@@ -1,1 +1,1 @@
-"""The data path: takes calls, passes them on, and answers them."""
+"""The data path: accepts calls, forwards them and sends the responses."""
--- a/src/lovageshunt/node/serving/_call.py
+++ b/src/lovageshunt/node/serving/_call.py
@@ -1,4 +1,4 @@
-"""One call while it is in progress at this node."""
+"""State of one call while it is in progress at this node."""
 
 from asyncio import Future, Task, get_running_loop
 
@@ -10,7 +10,11 @@
 
 
 class CallInProgress:
-    """One arrival: what came, its deadline, and who waits for the reply."""
+    """A call from its arrival to its reply.
+
+    ``arrived_at``, ``deadline`` and ``forwarded_at`` are monotonic times in
+    seconds; ``forwarded_at`` is ``None`` until the call is sent to the target.
+    """
 
     __slots__ = (
         'ticket',
@@ -23,8 +27,8 @@
         'reply',
         'replied',
         'target_reply',
-        'forwarding',
-        'has_begun',
+        'forward_task',
+        'has_started',
         'is_cancelled',
     )
 
@@ -38,7 +42,6 @@
         arrived_at: float,
         deadline: float,
     ) -> None:
-        """Begin with nobody having replied."""
         self.ticket = ticket
         self.inbound = inbound
         self.parsed = parsed
@@ -47,11 +50,11 @@
         self.deadline = deadline
         self.forwarded_at: float | None = None
         self.reply: Reply | None = None
-        #: Set with the reply; the reply stays if a waiter cancels this.
+        #: Completed when ``reply`` is set; a waiter may cancel it.
         self.replied: Future[None] = get_running_loop().create_future()
         self.target_reply: TargetReply | None = None
-        self.forwarding: Task[None] | None = None
-        #: A task that is cancelled before its first turn runs none of its
-        #: code, so one that has not begun is only told so.
-        self.has_begun = False
+        self.forward_task: Task[None] | None = None
+        #: A task that is cancelled before it starts runs none of its code,
+        #: so for one that has not started only ``is_cancelled`` is set.
+        self.has_started = False
         self.is_cancelled = False
--- a/src/lovageshunt/node/serving/_call_meter.py
+++ b/src/lovageshunt/node/serving/_call_meter.py
@@ -1,4 +1,4 @@
-"""Counts, traces and logs the calls of one node."""
+"""Accounting, tracing and logging of the calls of one node."""
 
 from logging import getLogger
 from typing import Final
@@ -17,7 +17,7 @@
 
 
 class CallMeter:
-    """Told of each call twice: when it arrives and when it is answered."""
+    """Records each call when it arrives and again when it ends."""
 
     def __init__(
         self,
@@ -27,7 +27,6 @@
         traces: Traces,
         metrics: Metrics,
     ) -> None:
-        """Take where the figures go."""
         self._service = service
         self._account = account
         self._traces = traces
@@ -45,7 +44,7 @@
         ]
 
     def arrived(self, parsed: ParsedCall) -> ActiveSpan:
-        """Count a call that arrived, and begin its span."""
+        """Count a call that arrived, and start its span."""
         context = parsed.context
         kind = parsed.rule.kind
         self._account.arrived(
@@ -63,7 +62,7 @@
             service=self._service,
         )
 
-    def turned_away(
+    def rejected(
         self,
         rule: KindRule,
         outcome: Outcome,
@@ -71,7 +70,7 @@
         *,
         is_external: bool,
     ) -> None:
-        """Count a request that could not be taken as a call at all."""
+        """Count a request that was refused before it became a call."""
         line = (self._service, rule.kind, rule.importance)
         self._account.arrived(
             *line,
@@ -81,7 +80,7 @@
         self._account.ended(*line, outcome, reason)
 
     def ended(self, call: CallInProgress, reply: Reply) -> None:
-        """Count how a call ended, and end its span."""
+        """Record the outcome and durations of a call, and end its span."""
         ending = reply.ending
         context = call.parsed.context
         is_answered = ending.outcome is Outcome.ANSWERED
@@ -103,7 +102,7 @@
             self._call_seconds[context.importance].observe(elapsed)
             return
         _log.info(
-            'call ended: %s, %s',
+            'call ended without an answer: outcome %s, reason %s',
             ending.outcome,
             ending.reason,
             extra={
--- a/src/lovageshunt/node/serving/_calls.py
+++ b/src/lovageshunt/node/serving/_calls.py
@@ -1,4 +1,4 @@
-"""The calls in progress at this node, and what is done for them."""
+"""Tracks the calls in progress and executes the actions of the gate."""
 
 from asyncio import CancelledError, Task, create_task
 from collections.abc import Coroutine
@@ -31,7 +31,7 @@
 from lovageshunt.node.serving._call_meter import CallMeter
 from lovageshunt.node.serving._forwarder import (
     Forwarder,
-    ended_by,
+    ended_event,
     outcome_if_cancelled,
 )
 from lovageshunt.node.serving._http_boundary import ParsedCall
@@ -43,7 +43,7 @@
 
 
 class Calls:
-    """Carries out what the gate asks for."""
+    """Passes events of calls to the gate and executes its actions."""
 
     def __init__(
         self,
@@ -55,7 +55,6 @@
         key: ContextKey | None,
         meter: CallMeter,
     ) -> None:
-        """Begin with no calls."""
         self._gate = gate
         self._inquiries = inquiries
         self._meter = meter
@@ -66,17 +65,17 @@
             identity=identity,
             target=target,
             key=key,
-            tell=self.handle,
+            notify_gate=self.handle,
         )
 
     @property
     def request_ids(self) -> list[str]:
-        """Return the requests whose calls are in progress."""
+        """Return the sorted request ids of the calls in progress."""
         return sorted(
             call.parsed.context.request_id for call in self._by_ticket.values()
         )
 
-    def begin(
+    def track(
         self,
         inbound: Inbound,
         parsed: ParsedCall,
@@ -85,7 +84,7 @@
         arrived_at: float,
         deadline: float,
     ) -> CallInProgress:
-        """Take a call in; ``handle`` must be told of its arrival next."""
+        """Register a call; pass its arrival to ``handle`` next."""
         call = CallInProgress(
             ticket=str(next(self._numbers)),
             inbound=inbound,
@@ -98,68 +97,68 @@
         return call
 
     def abandon(self, call: CallInProgress, reason: RefusalReason) -> None:
-        """Tell the gate that nobody waits for a call's reply."""
+        """Report to the gate that nobody waits for the reply any more."""
         self.handle(CallAbandoned(call.ticket, reason))
 
     def handle(self, event: Record) -> None:
-        """Tell the gate of an event and carry out what follows."""
+        """Pass an event to the gate and execute the resulting actions."""
         for action in self._gate.handle(event, now()):
-            self._act(action)
+            self._execute(action)
 
     async def stop(self) -> None:
-        """Cancel what still runs."""
+        """Cancel all running tasks."""
         for task in tuple(self._tasks):
             task.cancel()
 
     @singledispatchmethod
-    def _act(self, action: Record) -> None:
-        _log.error('no way to carry out %r', action)
+    def _execute(self, action: Record) -> None:
+        _log.error('ignoring action of unknown type: %r', action)
 
-    @_act.register
+    @_execute.register
     def _on_reply(self, action: Reply) -> None:
         call = self._by_ticket[action.ticket]
-        # Counted here, so that the account and the gate agree at any moment.
+        # Recorded here, so that the account always agrees with the gate.
         self._meter.ended(call, action)
         call.reply = action
         if not call.replied.done():
             call.replied.set_result(None)
-        if call.forwarding is None:
+        if call.forward_task is None:
             self._by_ticket.pop(action.ticket)
 
-    @_act.register
+    @_execute.register
     def _on_forward(self, action: Forward) -> None:
         call = self._by_ticket[action.ticket]
         call.forwarded_at = now()
-        call.forwarding = self._spawn(self._forward(call))
+        call.forward_task = self._spawn(self._forward(call))
 
-    @_act.register
+    @_execute.register
     def _on_cancel(self, action: CancelForward) -> None:
         call = self._by_ticket.get(action.ticket)
-        if call is None or call.forwarding is None:
+        if call is None or call.forward_task is None:
             return
         call.is_cancelled = True
-        if call.has_begun:
-            call.forwarding.cancel()
+        if call.has_started:
+            call.forward_task.cancel()
 
-    @_act.register
+    @_execute.register
     def _on_redirect(self, action: Redirect) -> None:
         call = self._by_ticket[action.call_id]
-        call.forwarding = self._spawn(self._redirect(call, action))
+        call.forward_task = self._spawn(self._redirect(call, action))
 
-    @_act.register
+    @_execute.register
     def _on_inquire(self, action: Inquire) -> None:
         self._spawn(self._inquire(action))
 
-    @_act.register
-    def _on_answer(self, action: AnswerInquiry) -> None:
+    @_execute.register
+    def _on_answer_inquiry(self, action: AnswerInquiry) -> None:
         self._inquiries.answered(action)
 
-    @_act.register
+    @_execute.register
     def _on_hand_over(self, action: HandOver) -> None:
         self._inquiries.start_hand_over(action)
 
-    @_act.register
-    def _on_tell(self, action: NotifyPeers) -> None:
+    @_execute.register
+    def _on_notify_peers(self, action: NotifyPeers) -> None:
         self._inquiries.tell_suspects(action.reports)
 
     async def _inquire(self, action: Inquire) -> None:
@@ -170,16 +169,16 @@
             outcome=outcome_if_cancelled(call),
             reason=RefusalReason.CANCELLED,
         )
-        call.has_begun = True
+        call.has_started = True
         try:
             if not call.is_cancelled:
                 reply = await self._forwarder.forward(call)
         except CancelledError:
-            _log.debug('call %s was cancelled', call.ticket)
+            _log.debug('forwarding of call %s was cancelled', call.ticket)
         except Exception:
-            _log.exception('call %s could not be forwarded', call.ticket)
+            _log.exception('forwarding of call %s failed', call.ticket)
         call.target_reply = reply
-        self.handle(ended_by(call, reply))
+        self.handle(ended_event(call, reply))
         self._by_ticket.pop(call.ticket, None)
 
     async def _redirect(self, call: CallInProgress, action: Redirect) -> None:
--- a/src/lovageshunt/node/serving/_forwarder.py
+++ b/src/lovageshunt/node/serving/_forwarder.py
@@ -1,4 +1,4 @@
-"""Sends the calls that may run to the local target."""
+"""Forwards admitted calls to the local target."""
 
 from asyncio import Task, create_task, shield
 from collections.abc import Callable
@@ -28,9 +28,12 @@
 
 
 class Forwarder:
-    """Sends calls to the target and finds out when it has gone down."""
+    """Forwards calls to the target and detects its crashes.
 
-    __slots__ = ('_identity', '_target', '_key', '_tell', '_crash_check')
+    A crash is reported through ``notify_gate``.
+    """
+
+    __slots__ = ('_identity', '_target', '_key', '_notify_gate', '_crash_check')
 
     def __init__(
         self,
@@ -38,17 +41,16 @@
         identity: Identity,
         target: TargetLink,
         key: ContextKey | None,
-        tell: Callable[[Record], None],
+        notify_gate: Callable[[Record], None],
     ) -> None:
-        """Tell the gate by ``tell`` of a target that went down."""
         self._identity = identity
         self._target = target
         self._key = key
-        self._tell = tell
+        self._notify_gate = notify_gate
         self._crash_check: Task[None] | None = None
 
     async def forward(self, call: CallInProgress) -> TargetReply:
-        """Send a call and return what came back."""
+        """Send a call to the target with what is left of its deadline."""
         context = call.parsed.context
         rule = call.parsed.rule
         at = now()
@@ -68,32 +70,34 @@
             timeout_seconds=call.deadline - at,
             is_repeatable=rule.is_repeatable,
         )
-        if reply.was_cut:
+        if reply.was_disconnected:
             await self._check_target()
         return reply
 
     async def _check_target(self) -> None:
-        """Find out once for all calls cut together whether it went down."""
+        """Check for a crash, once for all calls that lost their connection."""
         if self._crash_check is None or self._crash_check.done():
-            self._crash_check = create_task(self._tell_crash())
-        # A call that is cancelled meanwhile leaves the check to the others.
+            self._crash_check = create_task(self._report_crash())
+        # Cancelling one call must not cancel the check for the others.
         await shield(self._crash_check)
 
-    async def _tell_crash(self) -> None:
+    async def _report_crash(self) -> None:
         is_healthy = await self._target.is_healthy()
         if not is_healthy:
-            _log.error('the target went down with calls in flight')
-            self._tell(TargetDown())
+            _log.error(
+                'target crashed with calls in flight: its health check failed',
+            )
+            self._notify_gate(TargetDown())
 
 
 def outcome_if_cancelled(call: CallInProgress) -> Outcome:
-    """Return what is known of a call that is cancelled before its reply."""
+    """Return the outcome of a call that is cancelled before its reply."""
     is_repeatable = call.parsed.rule.is_repeatable
     return Outcome.FAILED if is_repeatable else Outcome.UNKNOWN
 
 
-def ended_by(call: CallInProgress, reply: TargetReply) -> CallEnded:
-    """Return the event that a target's reply to a call is."""
+def ended_event(call: CallInProgress, reply: TargetReply) -> CallEnded:
+    """Return the event for the gate that reports a target's reply."""
     below = {} if reply.info is None else reply.info.threshold_by_service
     return CallEnded(
         ticket=call.ticket,
@@ -102,7 +106,7 @@
             reason=reply.reason,
             answer=_stored(reply),
         ),
-        is_complete=reply.whole is not None,
+        is_complete=reply.response is not None,
         was_shed=reply.was_shed,
         retry_after_ms=reply.retry_after_ms,
         threshold_by_service=below,
@@ -110,11 +114,11 @@
 
 
 def _stored(reply: TargetReply) -> StoredAnswer | None:
-    whole = reply.whole
-    if whole is None:
+    response = reply.response
+    if response is None:
         return None
     return StoredAnswer(
-        status=whole.status,
-        headers=end_to_end_items(whole.headers),
-        body=whole.body,
+        status=response.status,
+        headers=end_to_end_items(response.headers),
+        body=response.body,
     )
--- a/src/lovageshunt/node/serving/_http_boundary.py
+++ b/src/lovageshunt/node/serving/_http_boundary.py
@@ -1,4 +1,4 @@
-"""Between HTTP and the gate: contexts in, control parts of answers out."""
+"""Converts HTTP requests to calls, and endings of calls to HTTP responses."""
 
 from types import MappingProxyType
 from typing import Final
@@ -25,7 +25,7 @@
 from lovageshunt.retries import allowance_for
 from lovageshunt.rules import KindRule
 
-#: Headers of callers that do not embed the library.
+#: Headers sent by callers that do not embed the library.
 REQUEST_ID_HEADER: Final = 'idempotency-key'
 ATTEMPT_HEADER: Final = 'lovageshunt-attempt'
 AGE_HEADER: Final = 'lovageshunt-age-ms'
@@ -33,10 +33,10 @@
 CALLER_HEADER: Final = 'lovageshunt-caller'
 
 _MS_PER_SECOND: Final = 1000
-_LONGEST_ID: Final = 128
+_MAX_ID_LENGTH: Final = 128
 _MAX_DIGITS: Final = 9
-#: The age of a repeated request that does not state it.
-_UNSTATED_AGE_MS: Final = 60_000
+#: Age assumed for a retry that does not state it.
+_DEFAULT_RETRY_AGE_MS: Final = 60_000
 _STATUS_BY_OUTCOME: Final = MappingProxyType(
     {
         Outcome.NOT_RUN: 503,
@@ -44,11 +44,11 @@
         Outcome.UNKNOWN: 504,
     },
 )
-_STATUS_BEYOND_BOUND: Final = 429
+_RETRY_BOUND_STATUS: Final = 429
 
 
 class HttpResponse(Record):
-    """An HTTP answer, with names and values of headers as bytes."""
+    """An HTTP response, with header names and values as bytes."""
 
     __slots__ = ('status', 'headers', 'body')
 
@@ -59,17 +59,16 @@
         headers: list[tuple[bytes, bytes]],
         body: bytes,
     ) -> None:
-        """Take the parts."""
         self.status = status
         self.headers = headers
         self.body = body
 
 
 class ParsedCall(Record):
-    """A call as the gate takes it.
+    """A call parsed from a request, with the rule of its kind.
 
-    ``is_external`` marks a caller that does not embed the library, and so
-    counts no outcomes of earlier attempts itself.
+    ``is_external`` marks a caller that does not embed the library, and hence
+    does not track the outcomes of its earlier attempts.
     """
 
     __slots__ = ('context', 'rule', 'is_external')
@@ -81,38 +80,37 @@
         rule: KindRule,
         is_external: bool,
     ) -> None:
-        """Take the context and the rule of the call."""
         self.context = context
         self.rule = rule
         self.is_external = is_external
 
 
-def admissible_of(
+def parse_call(
     inbound: Inbound,
     rule: KindRule,
     key: ContextKey | None = None,
 ) -> Result[ParsedCall, RefusalReason]:
-    """Return the call in a request, or why there is none.
+    """Return the call in a request, or the reason to refuse the request.
 
-    With a key, a context that no holder of it made is of an outside caller.
+    With a key, a call whose context is not signed with it counts as external.
     """
     header = inbound.headers.get(CONTEXT_HEADER)
     if header is None:
-        return _external(inbound, rule)
+        return _external_call(inbound, rule)
     try:
         context, is_known = decode_known_context(header, key)
     except MalformedContextError:
         return Error(RefusalReason.MALFORMED)
     if not is_known:
-        return _outside(context, rule)
+        return _unverified_call(context, rule)
     return Ok(ParsedCall(context=context, rule=rule, is_external=False))
 
 
 def fingerprint_of(inbound: Inbound, parsed: ParsedCall) -> str:
-    """Return what requests of the same content have in common.
+    """Return a hash of the method, target and body of a request.
 
-    A call that must not repeat stands for itself alone: another of the same
-    content is another purchase, not a resend.
+    For a call that must not be repeated the hash includes the call id,
+    because another call of the same content is another purchase, not a retry.
     """
     head = f'{inbound.method} {inbound.target} '
     if not parsed.rule.is_repeatable:
@@ -120,11 +118,12 @@
     return xxh3_64_hexdigest(head.encode() + inbound.body)
 
 
-def stated_ending(parsed: ParsedCall, ending: Ending) -> Ending:
-    """Return the ending that the caller may be told.
+def reportable_ending(parsed: ParsedCall, ending: Ending) -> Ending:
+    """Return the ending to report to the caller.
 
-    A caller without the library takes *not run* for its whole request, but
-    an earlier attempt of a repeatable one may have run.
+    A caller without the library reads *not run* as true of all attempts of
+    its request, but an earlier attempt of a repeatable call may have run, so
+    a retry of one is reported as failed.
     """
     is_first = parsed.context.attempt == 1
     if is_first or not parsed.is_external:
@@ -140,22 +139,22 @@
     ending: Ending,
     retry_after_ms: int,
 ) -> HttpResponse:
-    """Return the HTTP answer for an ending; the target's own if it has one."""
-    page = _stored_page(ending.answer)
-    if page is None:
-        page = HttpResponse(
+    """Return the HTTP response for an ending, the target's own if stored."""
+    response = _stored_response(ending.answer)
+    if response is None:
+        response = HttpResponse(
             status=_status_of(ending),
             headers=[(b'content-type', b'application/json')],
             body=refusal_body(context.request_id, ending, retry_after_ms),
         )
     if retry_after_ms:
-        # Seconds, rounded up: the header has no finer unit.
+        # Retry-After has whole seconds only, so round up.
         seconds = -(-retry_after_ms // _MS_PER_SECOND)
-        page.headers.append((b'retry-after', str(seconds).encode()))
-    return page
+        response.headers.append((b'retry-after', str(seconds).encode()))
+    return response
 
 
-def _stored_page(stored: StoredAnswer | None) -> HttpResponse | None:
+def _stored_response(stored: StoredAnswer | None) -> HttpResponse | None:
     if stored is None:
         return None
     return HttpResponse(
@@ -170,7 +169,7 @@
 
 def _status_of(ending: Ending) -> int:
     if ending.reason is RefusalReason.RETRY_BOUND:
-        return _STATUS_BEYOND_BOUND
+        return _RETRY_BOUND_STATUS
     return _STATUS_BY_OUTCOME[ending.outcome]
 
 
@@ -179,7 +178,7 @@
     ending: Ending,
     retry_after_ms: int,
 ) -> bytes:
-    """Return what a person or program without the library reads."""
+    """Return the JSON body of an error response."""
     return orjson.dumps(
         {
             'request_id': request_id,
@@ -198,7 +197,7 @@
     elapsed_seconds: float,
     trace_parent: str,
 ) -> CallContext:
-    """Return the context that the target gets."""
+    """Return the context to send to the target."""
     fields = context.as_dict()
     fields['home'] = home
     fields['timeout_ms'] = max(1, int(seconds_left * _MS_PER_SECOND))
@@ -207,39 +206,42 @@
     return CallContext(**fields)
 
 
-def _outside(
+def _unverified_call(
     context: CallContext,
     rule: KindRule,
 ) -> Result[ParsedCall, RefusalReason]:
-    """Give a call that nobody vouches for what the rules say.
+    """Apply the limits of the rules to a call with an unverified context.
 
-    Who it is and what it asks stays: an outcome is told under the same ids.
+    The ids, the caller and the kind stay as sent, because the outcome is
+    reported under the same ids.
     """
-    share = allowance_for(rule.retry_bound, context.attempt)
-    if share is None and rule.is_repeatable:
+    allowance = allowance_for(rule.retry_bound, context.attempt)
+    if allowance is None and rule.is_repeatable:
         return Error(RefusalReason.RETRY_BOUND)
     context.importance = rule.importance_for(context.caller)
     context.rank = rank_of(context.request_id)
-    context.retries_left = 0 if share is None else share.retries
+    context.retries_left = 0 if allowance is None else allowance.retries
     context.timeout_ms = min(context.timeout_ms, rule.timeout_ms)
     return Ok(ParsedCall(context=context, rule=rule, is_external=True))
 
 
-def _external(
+def _external_call(
     inbound: Inbound,
     rule: KindRule,
 ) -> Result[ParsedCall, RefusalReason]:
     headers = inbound.headers
     request_id = headers.get(REQUEST_ID_HEADER, '')
-    attempt = _count(headers.get(ATTEMPT_HEADER), 0 if request_id else 1)
+    attempt = _count_or_default(
+        headers.get(ATTEMPT_HEADER), 0 if request_id else 1
+    )
     request_id = request_id or uuid4().hex
-    if len(request_id) > _LONGEST_ID or not request_id.isascii():
+    if len(request_id) > _MAX_ID_LENGTH or not request_id.isascii():
         return Error(RefusalReason.MALFORMED)
-    share = allowance_for(rule.retry_bound, attempt)
-    if share is None and rule.is_repeatable:
+    allowance = allowance_for(rule.retry_bound, attempt)
+    if allowance is None and rule.is_repeatable:
         return Error(RefusalReason.RETRY_BOUND)
-    unstated = 0 if attempt == 1 else _UNSTATED_AGE_MS
-    timeout_ms = _count(headers.get(TIMEOUT_HEADER), rule.timeout_ms)
+    default_age_ms = 0 if attempt == 1 else _DEFAULT_RETRY_AGE_MS
+    timeout_ms = _count_or_default(headers.get(TIMEOUT_HEADER), rule.timeout_ms)
     context = CallContext(
         request_id=request_id,
         call_id=request_id,
@@ -248,15 +250,15 @@
         importance=rule.importance_for(headers.get(CALLER_HEADER, '')),
         rank=rank_of(request_id),
         timeout_ms=min(timeout_ms, rule.timeout_ms),
-        age_ms=_count(headers.get(AGE_HEADER), unstated),
+        age_ms=_count_or_default(headers.get(AGE_HEADER), default_age_ms),
         attempt=attempt,
-        retries_left=0 if share is None else share.retries,
+        retries_left=0 if allowance is None else allowance.retries,
         trace_parent=headers.get('traceparent', ''),
     )
     return Ok(ParsedCall(context=context, rule=rule, is_external=True))
 
 
-def _count(text: str | None, default: int) -> int:
+def _count_or_default(text: str | None, default: int) -> int:
     if text is None or not text.isdecimal() or len(text) > _MAX_DIGITS:
         return default
     return int(text)
--- a/src/lovageshunt/node/serving/_ingress.py
+++ b/src/lovageshunt/node/serving/_ingress.py
@@ -1,6 +1,6 @@
-"""The data path: takes calls, passes them through the gate, answers them.
+"""The ingress: passes calls through the gate and sends the responses.
 
-It is a bare ASGI application, because every layer here is paid by each call.
+It is a plain ASGI application, because each extra layer costs every call.
 """
 
 from asyncio import get_running_loop
@@ -39,27 +39,33 @@
 from lovageshunt.node.serving._calls import Calls
 from lovageshunt.node.serving._http_boundary import (
     ParsedCall,
-    admissible_of,
     fingerprint_of,
+    parse_call,
     refusal_body,
+    reportable_ending,
     response_of,
-    stated_ending,
 )
 from lovageshunt.rules import KindRule
 
 _MS_PER_SECOND: Final = 1000
 _TOO_LARGE_STATUS: Final = 413
 _BAD_REQUEST_STATUS: Final = 400
-_BOUND_STATUS: Final = 429
+_RETRY_BOUND_STATUS: Final = 429
 _OK_STATUS: Final = 200
-_REFUSED_RETRY_MS: Final = 5000
+_REJECTED_RETRY_AFTER_MS: Final = 5000
 _CONTEXT_NAME: Final = CONTEXT_HEADER.encode()
 _ANSWER_NAME: Final = ANSWER_HEADER.encode()
 _JSON: Final = (b'content-type', b'application/json')
 
 
 class Ingress:
-    """Serves callers, and clients that want to know members and rules."""
+    """Serves calls, and members and rules to callers that embed the library.
+
+    ``check_for_pause`` detects a pause of the process before a decision;
+    ``keep_account`` stores the account snapshot of a caller. ``calls_below``
+    states whether the target calls other services. With ``key``, contexts
+    must be signed with it to be trusted.
+    """
 
     def __init__(
         self,
@@ -69,19 +75,12 @@
         calls: Calls,
         meter: CallMeter,
         max_body_bytes: int,
-        observe: Callable[[], None],
+        check_for_pause: Callable[[], None],
         keep_account: Callable[[bytes], None],
         calls_below: bool,
         key: ContextKey | None,
     ) -> None:
-        """Take the parts that a call passes.
-
-        ``observe`` notices a pause of the process before a decision;
-        ``keep_account`` keeps a client's account. ``calls_below`` says
-        whether the target calls other services. With ``key``, contexts must
-        be signed to be believed.
-        """
-        self._observe = observe
+        self._check_for_pause = check_for_pause
         self._keep_account = keep_account
         self._calls_below = calls_below
         self._key = key
@@ -98,19 +97,19 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Serve one request."""
+        """Serve one ASGI request; ignores other scopes than HTTP."""
         if scope['type'] != 'http':
             return
         if scope['path'] == VIEW_PATH:
             await self._send_view(scope, send)
             return
-        reading = await read_inbound(scope, receive, self._max_body_bytes)
-        if reading.is_ok() and reading.ok.path == ACCOUNT_PATH:
-            await self._take_account(reading.ok, send)
-        elif reading.is_ok():
-            await self._serve(scope, reading.ok, receive, send)
-        elif not reading.error.is_gone:
-            await self._turn_away(
+        result = await read_inbound(scope, receive, self._max_body_bytes)
+        if result.is_ok() and result.ok.path == ACCOUNT_PATH:
+            await self._accept_account(result.ok, send)
+        elif result.is_ok():
+            await self._serve(scope, result.ok, receive, send)
+        elif not result.error.is_gone:
+            await self._reject(
                 self._rule_of(scope['method'], scope['path']),
                 send,
                 reason=RefusalReason.MALFORMED,
@@ -126,11 +125,11 @@
         send: Send,
     ) -> None:
         rule = self._rule_of(inbound.method, inbound.path)
-        parsed = admissible_of(inbound, rule, self._key)
+        parsed = parse_call(inbound, rule, self._key)
         if parsed.is_error():
             is_bound = parsed.error is RefusalReason.RETRY_BOUND
-            status = _BOUND_STATUS if is_bound else _BAD_REQUEST_STATUS
-            await self._turn_away(
+            status = _RETRY_BOUND_STATUS if is_bound else _BAD_REQUEST_STATUS
+            await self._reject(
                 rule,
                 send,
                 reason=parsed.error,
@@ -138,7 +137,7 @@
                 is_external=_is_external(scope),
             )
             return
-        call = self._begin(inbound, parsed.ok)
+        call = self._track_call(inbound, parsed.ok)
         if call.reply is None:
             waiting = self._wait(call)
             if await until_disconnect(receive, waiting) is None:
@@ -149,7 +148,7 @@
     def _rule_of(self, method: str, path: str) -> KindRule:
         return self._control.rules.kind_for(self._service, method, path)
 
-    async def _turn_away(
+    async def _reject(
         self,
         rule: KindRule,
         send: Send,
@@ -161,37 +160,39 @@
         ending = Ending(outcome=Outcome.NOT_RUN, reason=reason)
         if reason is RefusalReason.RETRY_BOUND:
             ending = Ending(outcome=Outcome.FAILED, reason=reason)
-        self._meter.turned_away(
+        self._meter.rejected(
             rule,
             ending.outcome,
             reason,
             is_external=is_external,
         )
-        seconds = str(_REFUSED_RETRY_MS // _MS_PER_SECOND).encode()
+        seconds = str(_REJECTED_RETRY_AFTER_MS // _MS_PER_SECOND).encode()
         await respond(
             send,
             status=status,
             headers=[_JSON, (b'retry-after', seconds)],
-            body=refusal_body('', ending, _REFUSED_RETRY_MS),
+            body=refusal_body('', ending, _REJECTED_RETRY_AFTER_MS),
         )
 
-    def _begin(self, inbound: Inbound, parsed: ParsedCall) -> CallInProgress:
-        self._observe()
+    def _track_call(
+        self, inbound: Inbound, parsed: ParsedCall
+    ) -> CallInProgress:
+        self._check_for_pause()
         at = now()
-        call = self._calls.begin(
+        call = self._calls.track(
             inbound,
             parsed,
             self._meter.arrived(parsed),
             arrived_at=at,
             deadline=at + parsed.context.timeout_ms / _MS_PER_SECOND,
         )
-        self._calls.handle(self._arrival(call))
+        self._calls.handle(self._arrival_event(call))
         return call
 
-    def _arrival(self, call: CallInProgress) -> CallArrived:
+    def _arrival_event(self, call: CallInProgress) -> CallArrived:
         peers = self._control.fleet.peers
         is_repeatable = call.parsed.rule.is_repeatable
-        # Only the run-once table asks who is gone.
+        # Only the run-once table uses the list of removed peers.
         gone = () if is_repeatable else peers.gone(call.arrived_at)
         return CallArrived(
             ticket=call.ticket,
@@ -222,20 +223,24 @@
         reply: Reply,
         send: Send,
     ) -> None:
-        ending = stated_ending(call.parsed, reply.ending)
+        ending = reportable_ending(call.parsed, reply.ending)
         is_answered = ending.outcome is Outcome.ANSWERED
         wait_ms = 0 if is_answered else reply.retry_after_ms
-        page = response_of(call.parsed.context, ending, wait_ms)
-        said = self._said(call, ending, wait_ms, len(page.body))
-        page.headers.append((_ANSWER_NAME, encode_answer(said).encode()))
+        response = response_of(call.parsed.context, ending, wait_ms)
+        answer_info = self._answer_info(
+            call, ending, wait_ms, len(response.body)
+        )
+        response.headers.append(
+            (_ANSWER_NAME, encode_answer(answer_info).encode())
+        )
         await respond(
             send,
-            status=page.status,
-            headers=page.headers,
-            body=page.body,
+            status=response.status,
+            headers=response.headers,
+            body=response.body,
         )
 
-    def _said(
+    def _answer_info(
         self,
         call: CallInProgress,
         ending: Ending,
@@ -258,7 +263,7 @@
         )
 
     def _thresholds(self, call: CallInProgress) -> dict[str, int]:
-        """Return the thresholds of the services that the call asked."""
+        """Return the thresholds of the services that the call involved."""
         reply = call.target_reply
         asked = None
         if reply is not None and reply.info is not None:
@@ -266,7 +271,7 @@
         kind = call.parsed.context.kind
         return self._gate.threshold_by_service(kind, asked, now())
 
-    async def _take_account(self, inbound: Inbound, send: Send) -> None:
+    async def _accept_account(self, inbound: Inbound, send: Send) -> None:
         try:
             self._keep_account(inbound.body)
         except MalformedSnapshotError as error:
@@ -281,8 +286,8 @@
 
     async def _send_view(self, scope: AsgiScope, send: Send) -> None:
         query = scope.get('query_string', b'').decode('latin-1')
-        named = query.removeprefix('services=')
-        services = tuple(name for name in named.split(',') if name)
+        listed = query.removeprefix('services=')
+        services = tuple(name for name in listed.split(',') if name)
         view = encode_view(self._control.client_view(services))
         await respond(send, status=_OK_STATUS, headers=[_JSON], body=view)
 
@@ -293,14 +298,14 @@
 
 def _reply_of(call: CallInProgress) -> Reply:
     if call.reply is None:
-        raise RuntimeError('the gate replies to each call before it ends')
+        raise RuntimeError('call ended without a reply from the gate')
     return call.reply
 
 
 def _unspent(call: CallInProgress) -> int:
     reply = call.target_reply
     if reply is None:
-        # Nothing was sent on, so nothing of the share was spent.
+        # A call that was not forwarded used none of its retries.
         is_sent = call.forwarded_at is not None
         return 0 if is_sent else call.parsed.context.retries_left
     return 0 if reply.info is None else reply.info.unspent
@@ -308,5 +313,5 @@
 
 def _suspicion(call: CallInProgress) -> int:
     reply = call.target_reply
-    was_cut = reply is not None and reply.was_cut
-    return call.parsed.context.suspicion + was_cut
+    was_disconnected = reply is not None and reply.was_disconnected
+    return call.parsed.context.suspicion + was_disconnected
--- a/src/lovageshunt/node/serving/_target.py
+++ b/src/lovageshunt/node/serving/_target.py
@@ -1,4 +1,4 @@
-"""The link to the local target: dispatches calls to it, reads its load."""
+"""The link to the local target: dispatches calls and reads its load."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -23,14 +23,14 @@
 )
 from lovageshunt.errors import MalformedAnswerError
 
-#: A target that answers with this header states that it ran nothing.
+#: Response header by which a target states that it did not run the call.
 NOT_RUN_HEADER: Final = 'lovageshunt-not-run'
 _FIRST_FAILURE_STATUS: Final = 500
 _SHED_STATUSES: Final = frozenset((429, 503))
 _LOAD_TIMEOUT_SECONDS: Final = 1.0
 _MS_PER_SECOND: Final = 1000
 _RETRY_AFTER: Final = 'retry-after'
-#: Headers that hold for one connection, or are made anew for each.
+#: Hop-by-hop headers, and those that each hop sets itself.
 _HOP_HEADERS: Final = frozenset(
     (
         'connection',
@@ -49,63 +49,61 @@
 
 
 class TargetReply(Record):
-    """What a dispatched call came to.
+    """The result of a dispatched call.
 
-    ``whole`` is the target's answer, if one arrived; ``info`` is what the
-    library in the target said beside it. ``was_cut`` marks a call whose
-    connection ended without an answer, as when the target goes down.
+    ``response`` is the target's response, if one arrived; ``info`` is what
+    the library in the target reported with it. ``was_disconnected`` marks a
+    call whose connection closed before a response, as when the target crashes.
     """
 
-    __slots__ = ('outcome', 'reason', 'whole', 'info', 'was_cut')
+    __slots__ = ('outcome', 'reason', 'response', 'info', 'was_disconnected')
 
     def __init__(
         self,
         *,
         outcome: Outcome,
         reason: RefusalReason | None = None,
-        whole: WholeAnswer | None = None,
+        response: WholeAnswer | None = None,
         info: AnswerInfo | None = None,
-        was_cut: bool = False,
+        was_disconnected: bool = False,
     ) -> None:
-        """Take the outcome and what is known beside it."""
         self.outcome = outcome
         self.reason = reason
-        self.whole = whole
+        self.response = response
         self.info = info
-        self.was_cut = was_cut
+        self.was_disconnected = was_disconnected
 
     @property
     def was_shed(self) -> bool:
-        """Return whether the target itself refused the call for its load."""
-        if self.whole is None or self.info is not None:
+        """Return whether the target itself shed the call because of load."""
+        if self.response is None or self.info is not None:
             return False
-        is_stated = NOT_RUN_HEADER in self.whole.headers
-        return is_stated or self.whole.status in _SHED_STATUSES
+        is_marked_not_run = NOT_RUN_HEADER in self.response.headers
+        return is_marked_not_run or self.response.status in _SHED_STATUSES
 
     @property
     def retry_after_ms(self) -> int:
-        """Return when the target asked its caller to come back, or 0."""
+        """Return the delay before a retry that the target asked for, or 0."""
         if self.info is not None and self.info.retry_after_ms:
             return self.info.retry_after_ms
-        if self.whole is None:
+        if self.response is None:
             return 0
-        seconds = self.whole.headers.get(_RETRY_AFTER, '')
+        seconds = self.response.headers.get(_RETRY_AFTER, '')
         return int(seconds) * _MS_PER_SECOND if seconds.isdecimal() else 0
 
 
 class TargetLoad(Record):
-    """The target's own load report."""
+    """A load report of the target: calls running and slots in total."""
 
     __slots__ = ('running', 'slots')
 
     def __init__(self, *, running: int, slots: int) -> None:
-        """Take the calls that run and the slots the target says it has."""
         self.running = running
         self.slots = slots
 
 
 class TargetLink:
-    """Speaks to the one target beside this node."""
+    """Connects this node to its target at ``address`` (IP:PORT)."""
 
     def __init__(
         self,
@@ -115,7 +113,6 @@
         health_path: str,
         load_path: str,
     ) -> None:
-        """Keep the address (IP:PORT) and the transport."""
         self._address = address
         self._transport = transport
         self._health_path = health_path
@@ -130,7 +127,7 @@
         timeout_seconds: float,
         is_repeatable: bool,
     ) -> TargetReply:
-        """Send a call to the target and wait for the whole answer."""
+        """Send a call to the target and wait for the complete response."""
         exchange = await self._transport.send(
             address=self._address,
             method=inbound.method,
@@ -144,12 +141,12 @@
         return _reply_of_answer(exchange.ok, call_id)
 
     async def is_healthy(self) -> bool:
-        """Ask the target's health endpoint, which may mislead."""
+        """Query the health endpoint, whose answer may be wrong."""
         exchange = await self._ask(self._health_path)
         return exchange.is_ok() and exchange.ok.status < _FIRST_FAILURE_STATUS
 
     async def load(self) -> Result[TargetLoad, str]:
-        """Read the target's load report, or say why there is none."""
+        """Read the load report of the target, or return why it failed."""
         exchange = await self._ask(self._load_path)
         if exchange.is_error():
             return Error(exchange.error.detail)
@@ -176,7 +173,7 @@
 
 
 def end_to_end_headers(headers: Mapping[str, str]) -> dict[str, str]:
-    """Return the headers that pass from hop to hop."""
+    """Return the headers that are forwarded, without hop-by-hop ones."""
     return {
         name: text
         for name, text in headers.items()
@@ -187,7 +184,7 @@
 def end_to_end_items(
     headers: Mapping[str, str],
 ) -> tuple[tuple[str, str], ...]:
-    """Return what passes of an answer's headers; names may repeat."""
+    """Return the end-to-end headers of a response; names may repeat."""
     return tuple(
         (name, text)
         for name, text in headers.items()
@@ -201,29 +198,30 @@
             outcome=Outcome.NOT_RUN,
             reason=RefusalReason.CONNECTION_LOST,
         )
-    # A lookup that may still run changes nothing, so its end is certain.
+    # A repeatable call has no side effects, so it counts as failed even if
+    # it may still be running.
     outcome = Outcome.FAILED if is_repeatable else Outcome.UNKNOWN
     if lost.kind is LossKind.LATE:
         return TargetReply(outcome=outcome, reason=RefusalReason.DEADLINE)
     return TargetReply(
         outcome=outcome,
         reason=RefusalReason.CONNECTION_LOST,
-        was_cut=lost.kind is LossKind.CUT,
+        was_disconnected=lost.kind is LossKind.CUT,
     )
 
 
-def _reply_of_answer(whole: WholeAnswer, call_id: str) -> TargetReply:
-    if NOT_RUN_HEADER in whole.headers:
+def _reply_of_answer(response: WholeAnswer, call_id: str) -> TargetReply:
+    if NOT_RUN_HEADER in response.headers:
         return TargetReply(
             outcome=Outcome.NOT_RUN,
             reason=RefusalReason.OVERLOAD,
-            whole=whole,
+            response=response,
         )
-    said = whole.headers.get(ANSWER_HEADER)
-    if said is None:
-        return _reply_of_status(whole)
+    answer_header = response.headers.get(ANSWER_HEADER)
+    if answer_header is None:
+        return _reply_of_status(response)
     try:
-        info = decode_answer(said, call_id)
+        info = decode_answer(answer_header, call_id)
     except MalformedAnswerError:
         return TargetReply(
             outcome=Outcome.UNKNOWN,
@@ -232,16 +230,16 @@
     return TargetReply(
         outcome=info.outcome,
         reason=info.reason,
-        whole=whole,
+        response=response,
         info=info,
     )
 
 
-def _reply_of_status(whole: WholeAnswer) -> TargetReply:
-    if whole.status < _FIRST_FAILURE_STATUS:
-        return TargetReply(outcome=Outcome.ANSWERED, whole=whole)
+def _reply_of_status(response: WholeAnswer) -> TargetReply:
+    if response.status < _FIRST_FAILURE_STATUS:
+        return TargetReply(outcome=Outcome.ANSWERED, response=response)
     return TargetReply(
         outcome=Outcome.FAILED,
         reason=RefusalReason.TARGET_FAILED,
-        whole=whole,
+        response=response,
     )
--- a/tests/node/serving/test_border.py
+++ b/tests/node/serving/test_border.py
@@ -1,4 +1,4 @@
-"""Between HTTP and the gate."""
+"""Parsing of calls from HTTP requests, and responses for endings."""
 
 import pytest
 
@@ -6,16 +6,16 @@
 from lovageshunt.client import Inbound
 from lovageshunt.idempotency import Ending
 from lovageshunt.node.serving._http_boundary import (
-    admissible_of,
     fingerprint_of,
+    parse_call,
+    reportable_ending,
     response_of,
-    stated_ending,
 )
 from lovageshunt.rules import KindRule
 
 
 def make_call(request_id, *, is_repeatable=True, attempt='1', caller=''):
-    """Return a call of a caller that embeds no library."""
+    """Return a request of a caller without the library, and its call."""
     inbound = Inbound(
         method='POST',
         path='/tokens',
@@ -38,21 +38,21 @@
         retry_bound=3,
         importance_by_caller={'kiosk': 1},
     )
-    return inbound, admissible_of(inbound, rule)
+    return inbound, parse_call(inbound, rule)
 
 
 class TestFingerprint:
-    """What requests of the same content have in common."""
+    """The fingerprint identifies requests with the same content."""
 
     def test_lookups_of_the_same_content_share_it(self):
-        """A resend under a new id is still the same poison."""
+        """A crashing lookup sent again with a new id is still recognised."""
         first, one = make_call('r1')
         second, two = make_call('r2')
 
         assert fingerprint_of(first, one.ok) == fingerprint_of(second, two.ok)
 
     def test_purchases_of_the_same_content_do_not(self):
-        """Another family's equal purchase is not condemned with the first."""
+        """A purchase is not quarantined because an equal one crashed."""
         first, one = make_call('r1', is_repeatable=False)
         second, two = make_call('r2', is_repeatable=False)
 
@@ -60,45 +60,45 @@
 
 
 class TestExternalCalls:
-    """Calls of callers that embed no library."""
+    """Calls of callers that do not embed the library."""
 
     def test_importance_comes_from_the_rules(self):
-        """The caller's name decides, not what it claims."""
+        """The rules set the importance by the name of the caller."""
         _, call = make_call('r', caller='kiosk')
 
         assert call.ok.context.importance == 1
 
     def test_attempt_beyond_the_bound_is_refused(self):
-        """A resend opens no new allowance."""
+        """A retry beyond the bound gets no further allowance."""
         _, call = make_call('r', attempt='9')
 
         assert call.error is RefusalReason.RETRY_BOUND
 
     @pytest.mark.parametrize('request_id', ['x' * 200, 'é'])
-    def test_ids_that_cannot_travel_are_refused(self, request_id):
-        """An id goes into headers of every hop."""
+    def test_ids_unfit_for_headers_are_refused(self, request_id):
+        """An id is sent in headers at every hop, so it is short and ASCII."""
         _, call = make_call(request_id)
 
         assert call.error is RefusalReason.MALFORMED
 
     def test_not_run_is_not_claimed_for_a_resent_lookup(self):
-        """An earlier attempt of it may have run."""
+        """A retried lookup is failed, since an earlier attempt may have run."""
         _, call = make_call('r', attempt='2')
         refused = Ending(
             outcome=Outcome.NOT_RUN,
             reason=RefusalReason.OVERLOAD,
         )
 
-        assert stated_ending(call.ok, refused).outcome is Outcome.FAILED
+        assert reportable_ending(call.ok, refused).outcome is Outcome.FAILED
 
-    def test_refusal_says_when_to_come_back(self):
-        """In whole seconds, rounded up, as the header has no finer unit."""
+    def test_refusal_has_retry_after(self):
+        """Retry-After is in whole seconds, rounded up."""
         _, call = make_call('r')
         refused = Ending(
             outcome=Outcome.NOT_RUN,
             reason=RefusalReason.OVERLOAD,
         )
-        page = response_of(call.ok.context, refused, 1200)
+        response = response_of(call.ok.context, refused, 1200)
 
-        assert (b'retry-after', b'2') in page.headers
-        assert page.status == 503
+        assert (b'retry-after', b'2') in response.headers
+        assert response.status == 503
--- a/tests/node/serving/test_calls.py
+++ b/tests/node/serving/test_calls.py
@@ -1,4 +1,4 @@
-"""How the daemon carries out what the gate asks for."""
+"""Execution of the actions that the gate returns."""
 
 import asyncio
 from types import SimpleNamespace
@@ -20,14 +20,13 @@
 
 
 class ForwardingGate:
-    """A gate that forwards all and cancels what is abandoned."""
+    """A gate that forwards every call and cancels abandoned ones."""
 
     def __init__(self):
-        """Begin with no events."""
         self.events = []
 
     def handle(self, event, now):
-        """Keep the event and return what follows."""
+        """Record the event and return the resulting actions."""
         self.events.append(event)
         if isinstance(event, CallAbandoned):
             return [CancelForward(event.ticket)]
@@ -37,30 +36,32 @@
 
 
 class CrashedTarget:
-    """A target that cuts each call, and whose health is slow to tell."""
+    """A target that drops each connection; its health check is slow.
+
+    The check sets ``asked`` and then waits for ``answered``.
+    """
 
     def __init__(self):
-        """Begin with one question of health not asked."""
         self.asked = asyncio.Event()
         self.answered = asyncio.Event()
 
     async def dispatch(self, *args, **fields):
-        """Cut the call."""
+        """Report that the connection closed without a response."""
         return TargetReply(
             outcome=Outcome.FAILED,
             reason=RefusalReason.CONNECTION_LOST,
-            was_cut=True,
+            was_disconnected=True,
         )
 
     async def is_healthy(self):
-        """Tell when the test lets it."""
+        """Fail the health check once ``answered`` is set."""
         self.asked.set()
         await self.answered.wait()
         return False
 
 
-def begin(calls, number):
-    """Take a lookup in and have it forwarded."""
+def track(calls, number):
+    """Track a lookup and have the gate forward it."""
     context = CallContext(
         request_id=f'r{number}',
         call_id=f'r{number}',
@@ -70,7 +71,7 @@
     )
     rule = default_kind('records', 'GET', '/')
     rule.is_repeatable = True
-    call = calls.begin(
+    call = calls.track(
         Inbound(method='GET', path='/', target='/', headers={}, body=b''),
         ParsedCall(context=context, rule=rule, is_external=False),
         SimpleNamespace(trace_parent=''),
@@ -82,10 +83,13 @@
 
 
 class TestCrashOfTheTarget:
-    """Calls that are cut together."""
+    """Several calls in flight when the target crashes."""
+
+    async def test_reported_although_one_is_abandoned(self):
+        """Abandoning one call does not cancel the shared crash check.
 
-    async def test_told_although_one_is_abandoned(self):
-        """The crash is told, and the others are not taken for cancelled."""
+        The crash is reported once, and the other call ends as disconnected.
+        """
         gate, target = ForwardingGate(), CrashedTarget()
         calls = Calls(
             identity=None,
@@ -95,12 +99,12 @@
             meter=None,
             key=None,
         )
-        first, second = begin(calls, 1), begin(calls, 2)
+        first, second = track(calls, 1), track(calls, 2)
         await target.asked.wait()
         calls.abandon(first, RefusalReason.CANCELLED)
         await asyncio.sleep(0)
         target.answered.set()
-        await asyncio.wait((first.forwarding, second.forwarding))
+        await asyncio.wait((first.forward_task, second.forward_task))
         assert [type(event) for event in gate.events].count(TargetDown) == 1
         ended = {
             event.ticket: event.ending.reason
@@ -110,13 +114,14 @@
         assert ended[second.ticket] is RefusalReason.CONNECTION_LOST
 
 
-class TestCancelBeforeTheFirstTurn:
-    """A call whose caller leaves in the same turn in which it is forwarded."""
+class TestCancelBeforeTheTaskStarts:
+    """A call that is abandoned before its forwarding task starts."""
 
-    async def test_its_slot_comes_back(self):
-        """The gate is told that the call ended, and the target never called.
+    async def test_its_slot_is_released(self):
+        """The end of the call is reported, and the target is not called.
 
-        A task that is cancelled before its first turn runs none of its code.
+        A task that is cancelled before it starts runs none of its code, so
+        the slot of the call would never be released.
         """
         gate, target = ForwardingGate(), CrashedTarget()
         calls = Calls(
@@ -127,9 +132,9 @@
             meter=None,
             key=None,
         )
-        call = begin(calls, 1)
+        call = track(calls, 1)
         calls.abandon(call, RefusalReason.CANCELLED)
-        await asyncio.wait((call.forwarding,))
+        await asyncio.wait((call.forward_task,))
         ended = [event for event in gate.events if isinstance(event, CallEnded)]
 
         assert [event.ticket for event in ended] == [call.ticket]
--- a/tests/node/serving/test_ingress.py
+++ b/tests/node/serving/test_ingress.py
@@ -1,4 +1,4 @@
-"""Requests that are no calls, at a node that runs."""
+"""Requests that a running node rejects before they become calls."""
 
 import aiohttp
 import pytest
@@ -8,14 +8,14 @@
 
 
 async def plain(scope, receive, send):
-    """Answer everything."""
+    """Respond with 200 to every request."""
     await read_body(receive)
     await answer(send)
 
 
 @pytest_asyncio.fixture(scope='module', loop_scope='module')
 async def node(tmp_path_factory):
-    """Run one node."""
+    """Run one node with a body limit of 2048 bytes."""
     folder = tmp_path_factory.mktemp('ingress')
     more = 'body_bytes=2048\n'
     async with deployment(folder, {'stock-1': plain}, more) as nodes:
@@ -23,24 +23,24 @@
 
 
 async def counts(session, node):
-    """Return what the node's account has, summed."""
+    """Return the counts in the account of the node, summed over lines."""
     async with session.get(f'http://{node.admin}/v1/account') as reply:
         lines = (await reply.json())['account']['lines']
     return {
         'arrived': sum(line['arrived'] for line in lines),
         'running': sum(line.get('running', 0) for line in lines),
-        'refused': sum(_ends(line, 'refused_by_reason') for line in lines),
-        'failed': sum(_ends(line, 'failed_by_reason') for line in lines),
+        'refused': sum(_sum_of(line, 'refused_by_reason') for line in lines),
+        'failed': sum(_sum_of(line, 'failed_by_reason') for line in lines),
     }
 
 
-def _ends(line, name):
+def _sum_of(line, name):
     return sum(line.get(name, {}).values())
 
 
 @pytest.mark.asyncio(loop_scope='module')
-class TestTurnedAway:
-    """What is refused before it is a call."""
+class TestRejected:
+    """Requests that are malformed, too large or beyond the retry bound."""
 
     @pytest.mark.parametrize(
         ('headers', 'body', 'status', 'end'),
@@ -56,7 +56,7 @@
         ],
     )
     async def test_is_counted(self, node, headers, body, status, end):
-        """It stands in the account, and is told when to come back."""
+        """A rejection is counted in the account and has Retry-After."""
         async with aiohttp.ClientSession() as session:
             before = await counts(session, node)
             async with session.get(
--- a/tests/node/serving/test_signed_contexts.py
+++ b/tests/node/serving/test_signed_contexts.py
@@ -1,4 +1,4 @@
-"""Contexts that come in."""
+"""Verification of the contexts of incoming calls."""
 
 import pytest
 
@@ -11,7 +11,7 @@
     rank_of,
 )
 from lovageshunt.client import Inbound
-from lovageshunt.node.serving._http_boundary import admissible_of
+from lovageshunt.node.serving._http_boundary import parse_call
 from lovageshunt.rules import KindRule
 
 KEY = ContextKey(b'the key of the fleet')
@@ -29,7 +29,7 @@
 
 
 def inbound_of(key, **fields):
-    """Return a request with a context that claims the most."""
+    """Return a request whose context claims the top values."""
     context = CallContext(
         **{
             'request_id': 'r',
@@ -50,37 +50,37 @@
     )
 
 
-class TestAdmissible:
-    """The call in a request."""
+class TestParseCall:
+    """Parsing of a call whose context is signed, unsigned or forged."""
 
     @pytest.mark.parametrize('key', [None, ContextKey(b'k' * 16)])
-    def test_caller_raises_nothing(self, key):
-        """A context that is unsigned or wrongly signed gets its rule's."""
-        found = admissible_of(inbound_of(key), RULE, KEY).ok
-        context = found.context
+    def test_unverified_claims_are_ignored(self, key):
+        """An unsigned or wrongly signed context gets the limits of its rule."""
+        parsed = parse_call(inbound_of(key), RULE, KEY).ok
+        context = parsed.context
 
-        assert found.is_external
+        assert parsed.is_external
         assert (context.importance, context.rank) == (5, rank_of('r'))
         assert context.retries_left <= RULE.retry_bound
         assert context.timeout_ms == RULE.timeout_ms
         assert context.call_id == 'r.1'
 
     def test_importance_of_caller(self):
-        """The rule for a caller's name holds for an unsigned context."""
-        found = admissible_of(inbound_of(None, caller='kiosk'), RULE, KEY).ok
+        """An unsigned context gets the importance set for its caller."""
+        parsed = parse_call(inbound_of(None, caller='kiosk'), RULE, KEY).ok
 
-        assert found.context.importance == 3
+        assert parsed.context.importance == 3
 
     def test_bound(self):
         """An unsigned attempt beyond the bound is refused."""
-        found = admissible_of(inbound_of(None, attempt=9), RULE, KEY)
+        parsed = parse_call(inbound_of(None, attempt=9), RULE, KEY)
 
-        assert found.error is RefusalReason.RETRY_BOUND
+        assert parsed.error is RefusalReason.RETRY_BOUND
 
     @pytest.mark.parametrize('key', [None, KEY])
     def test_known_context(self, key):
-        """A signed context, or any in a fleet without a key, is believed."""
-        found = admissible_of(inbound_of(key), RULE, key).ok
+        """A signed context is trusted, as is any in a fleet without a key."""
+        parsed = parse_call(inbound_of(key), RULE, key).ok
 
-        assert not found.is_external
-        assert (found.context.importance, found.context.rank) == (0, 0)
+        assert not parsed.is_external
+        assert (parsed.context.importance, parsed.context.rank) == (0, 0)
--- a/tests/node/serving/test_target.py
+++ b/tests/node/serving/test_target.py
@@ -1,4 +1,4 @@
-"""The link to the target, over loopback connections."""
+"""Dispatch of calls to the target over loopback connections."""
 
 from contextlib import asynccontextmanager
 
@@ -25,7 +25,7 @@
 
 
 def answer_of(status=200, body=b'whole', **headers):
-    """Return a server that gives one answer to each request."""
+    """Return a server that gives the same response to each request."""
     names = {name.replace('_', '-'): text for name, text in headers.items()}
     lines = [
         f'HTTP/1.1 {status} Some',
@@ -40,24 +40,24 @@
     return serve
 
 
-def saying(call_id, outcome=Outcome.ANSWERED, **said):
-    """Return the control part of the library in a target."""
-    info = AnswerInfo(call_id=call_id, outcome=outcome, **said)
+def answer_header(call_id, outcome=Outcome.ANSWERED, **fields):
+    """Return the answer header that the library in a target sends."""
+    info = AnswerInfo(call_id=call_id, outcome=outcome, **fields)
     return {ANSWER_HEADER: encode_answer(info)}
 
 
-async def cut(arrival):
-    """Close without an answer."""
+async def disconnect(arrival):
+    """Close the connection without a response."""
     await arrival.close()
 
 
 async def hang(arrival):
-    """Leave the request unanswered."""
+    """Send no response."""
 
 
 @asynccontextmanager
 async def link_to(serve):
-    """Yield the link to a target that does this."""
+    """Yield a link to a target whose connections ``serve`` handles."""
     transport = Transport(max_body_bytes=1000)
     await transport.start()
     async with exchange_with(serve) as (server, _):
@@ -71,7 +71,7 @@
 
 
 async def dispatch(serve, *, is_repeatable=True):
-    """Send the call c1 to a target and return what it came to."""
+    """Send the call c1 to a target and return the reply."""
     async with link_to(serve) as link:
         return await link.dispatch(
             _INBOUND,
@@ -83,7 +83,7 @@
 
 
 class TestOutcome:
-    """What a dispatched call came to."""
+    """Outcomes of dispatched calls."""
 
     @pytest.mark.parametrize(
         ('serve', 'outcome', 'reason'),
@@ -96,9 +96,9 @@
                 Outcome.NOT_RUN,
                 RefusalReason.OVERLOAD,
             ),
-            (answer_of(**saying('c1')), Outcome.ANSWERED, None),
+            (answer_of(**answer_header('c1')), Outcome.ANSWERED, None),
             (
-                answer_of(**saying('c2')),
+                answer_of(**answer_header('c2')),
                 Outcome.UNKNOWN,
                 RefusalReason.MALFORMED,
             ),
@@ -110,50 +110,49 @@
         ],
     )
     async def test_of_answer(self, serve, outcome, reason):
-        """Only an answer of this call, or none said whose, is taken."""
+        """A response is accepted with this call id or without an id."""
         reply = await dispatch(serve)
         assert (reply.outcome, reply.reason) == (outcome, reason)
 
-    @pytest.mark.parametrize('serve', [cut, hang])
+    @pytest.mark.parametrize('serve', [disconnect, hang])
     async def test_lost_purchase_is_unknown(self, serve):
-        """A purchase without an answer may have run."""
+        """A purchase without a response may have run."""
         reply = await dispatch(serve, is_repeatable=False)
         assert reply.outcome is Outcome.UNKNOWN
 
-    @pytest.mark.parametrize('serve', [cut, hang])
+    @pytest.mark.parametrize('serve', [disconnect, hang])
     async def test_lost_lookup_is_failed(self, serve):
-        """A lookup without an answer has failed, and changed nothing."""
+        """A lookup without a response has failed, without side effects."""
         reply = await dispatch(serve)
         assert reply.outcome is Outcome.FAILED
-        assert reply.was_cut is (serve is cut)
+        assert reply.was_disconnected is (serve is disconnect)
 
     async def test_retry_after(self):
-        """The target's own wish for when to come back is kept."""
+        """The Retry-After of the target is kept."""
         reply = await dispatch(answer_of(503, retry_after='2'))
         assert reply.retry_after_ms == 2000
 
 
 class TestLoad:
-    """The target's own load report."""
+    """Load reports of the target."""
 
     async def test_read(self):
-        """A report is read."""
         async with link_to(answer_of(body=b'{"running":2,"slots":7}')) as link:
             load = (await link.load()).ok
         assert (load.running, load.slots) == (2, 7)
 
     @pytest.mark.parametrize('body', [b'', b'[]', b'{"running":"many"}'])
     async def test_malformed(self, body):
-        """A malformed report is an error, not a load."""
+        """A malformed report is returned as an error."""
         async with link_to(answer_of(body=body)) as link:
             assert (await link.load()).is_error()
 
 
 class TestHeaders:
-    """The headers that pass from the target to the caller."""
+    """Response headers that are forwarded to the caller."""
 
     async def test_repeated_names(self):
-        """Headers of one name all pass, in their order."""
+        """All headers of one name are forwarded in order."""
 
         async def cookies(arrival):
             await arrival.write(
@@ -162,5 +161,5 @@
             )
 
         reply = await dispatch(cookies)
-        passing = end_to_end_items(reply.whole.headers)
-        assert [text for _, text in passing] == ['a=1', 'b=2']
+        forwarded = end_to_end_items(reply.response.headers)
+        assert [text for _, text in forwarded] == ['a=1', 'b=2']
