--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -112,7 +112,7 @@
             self.runtime,
             self._reports,
             token=read_token(security),
-            needs_certificate=security.authority_file is not None,
+            requires_peer_certificate=security.authority_file is not None,
         )
         drain_seconds = int(self._settings.limits.drain_seconds)
         servers = [
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -131,7 +131,7 @@
         self.observe()
         self._calls.handle(event)
 
-    def take(self, envelope: Envelope) -> None:
+    def handle_envelope(self, envelope: Envelope) -> None:
         """Take what a peer sent."""
         self.observe()
         self._control.take(envelope)
@@ -146,7 +146,7 @@
         snapshot = decode_snapshot(raw)
         self._keeping.handle(SnapshotHeard(now=now(), snapshot=snapshot))
 
-    async def inquired(self, question: InquiryReceived) -> InquiryAnswer:
+    async def answer_inquiry(self, question: InquiryReceived) -> InquiryAnswer:
         """Return the answer to a peer's question about a call."""
         peers = self._control.fleet.peers
         question.peers = peers.peers or ()
--- a/src/lovageshunt/node/admin/__init__.py
+++ b/src/lovageshunt/node/admin/__init__.py
@@ -1,1 +1,1 @@
-"""What operators read of a node and tell it, and how it is secured."""
+"""The admin API for operators and peers, with its TLS and token checks."""
--- a/src/lovageshunt/node/admin/_admin.py
+++ b/src/lovageshunt/node/admin/_admin.py
@@ -1,4 +1,4 @@
-"""The admin side: what operators read, and what peers send."""
+"""The admin API: reports for operators, control messages from peers."""
 
 from collections.abc import Awaitable, Callable
 from hmac import compare_digest
@@ -37,14 +37,19 @@
 _UNAVAILABLE: Final = 503
 _ACCEPTED: Final = 202
 
-#: What only nodes send.
+#: Paths that only peer nodes may post to.
 _PEER_PATHS: Final = frozenset((EXCHANGE_PATH, INQUIRY_PATH, HAND_OVER_PATH))
 
 _Handler = Callable[[Request], Awaitable[Response]]
 
 
 class Admin:
-    """Reads first; drain is the only write."""
+    """Serves the admin API, in which drain is an operator's only write.
+
+    An empty ``token`` disables authentication. With
+    ``requires_peer_certificate``, the paths for peers accept only clients
+    that present a certificate signed by the configured authority.
+    """
 
     def __init__(
         self,
@@ -52,19 +57,15 @@
         reports: Reports,
         *,
         token: str,
-        needs_certificate: bool,
+        requires_peer_certificate: bool,
     ) -> None:
-        """Keep the parts; an empty token lets everyone in.
-
-        With ``needs_certificate`` peers must show one of the authority.
-        """
-        self._needs_certificate = needs_certificate
+        self._requires_peer_certificate = requires_peer_certificate
         self._runtime = runtime
         self._reports = reports
         self._token = f'Bearer {token}' if token else ''
 
     def app(self) -> Starlette:
-        """Return the application that serves the admin address."""
+        """Return the application to serve on the admin address."""
         read = ('GET',)
         write = ('POST',)
         routes = (
@@ -81,40 +82,44 @@
         )
         return Starlette(
             routes=[
-                Route(path, self._guarded(handler), methods=list(methods))
+                Route(path, self._authorized(handler), methods=list(methods))
                 for path, handler, methods in routes
             ],
         )
 
-    def _guarded(self, handler: _Handler) -> _Handler:
-        async def guarded(request: Request) -> Response:  # noqa: WPS430
-            if not self._may_pass(request):
+    def _authorized(self, handler: _Handler) -> _Handler:
+        async def authorized(request: Request) -> Response:  # noqa: WPS430
+            if not self._has_valid_token(request):
                 return _problem(
                     _UNAUTHORIZED,
-                    'the token is missing or wrong; send "authorization: '
-                    'Bearer TOKEN" with the token of admin_token_file',
+                    'admin token is missing or wrong; send the header '
+                    '"authorization: Bearer TOKEN" with the token from '
+                    'admin_token_file',
                 )
-            if not self._may_be_peer(request):
+            if not self._is_allowed_peer(request):
                 return _problem(
                     _FORBIDDEN,
-                    'only nodes may send this; show a certificate of the '
-                    'authority_file',
+                    'path is reserved for nodes; present a client certificate '
+                    'signed by the authority in authority_file',
                 )
             try:
                 return await handler(request)
             except (MalformedEnvelopeError, MalformedSnapshotError) as error:
                 return _problem(_BAD_REQUEST, str(error))
 
-        return guarded
+        return authorized
 
-    def _may_pass(self, request: Request) -> bool:
-        given = request.headers.get('authorization', '')
-        return compare_digest(given.encode(), self._token.encode()) or (
+    def _has_valid_token(self, request: Request) -> bool:
+        presented = request.headers.get('authorization', '')
+        return compare_digest(presented.encode(), self._token.encode()) or (
             not self._token
         )
 
-    def _may_be_peer(self, request: Request) -> bool:
-        if not self._needs_certificate or request.url.path not in _PEER_PATHS:
+    def _is_allowed_peer(self, request: Request) -> bool:
+        if (
+            not self._requires_peer_certificate
+            or request.url.path not in _PEER_PATHS
+        ):
             return True
         tls = request.scope.get('extensions', {}).get('tls', {})
         return bool(tls.get(PEER_IS_KNOWN))
@@ -147,16 +152,16 @@
         return _json({'state': self._runtime.state}, _ACCEPTED)
 
     async def _exchange(self, request: Request) -> Response:
-        self._runtime.take(decode_envelope(await _body(request)))
+        self._runtime.handle_envelope(decode_envelope(await _body(request)))
         home = self._runtime.identity.home
         return _json({'node': home.node, 'incarnation': home.incarnation})
 
     async def _inquiry(self, request: Request) -> Response:
-        inquired = decode_inquiry(await _body(request))
+        inquiry = decode_inquiry(await _body(request))
         try:
-            answer: InquiryAnswer = await self._runtime.inquired(inquired)
+            answer: InquiryAnswer = await self._runtime.answer_inquiry(inquiry)
         except TimeoutError:
-            return _problem(_UNAVAILABLE, 'no answer in time; ask again')
+            return _problem(_UNAVAILABLE, 'inquiry timed out; send it again')
         return Response(encode_inquiry_answer(answer), media_type=_JSON)
 
     async def _hand_over(self, request: Request) -> Response:
@@ -171,7 +176,9 @@
         chunks.append(chunk)
         size += len(chunk)
         if size > MAX_ENVELOPE_BYTES:
-            raise MalformedEnvelopeError(f'over {MAX_ENVELOPE_BYTES} bytes')
+            raise MalformedEnvelopeError(
+                f'body exceeds {MAX_ENVELOPE_BYTES} bytes'
+            )
     return b''.join(chunks)
 
 
--- a/src/lovageshunt/node/admin/_reports.py
+++ b/src/lovageshunt/node/admin/_reports.py
@@ -1,4 +1,4 @@
-"""What operators read of a node, as plain content for JSON."""
+"""Reports of a node for operators, as values ready for JSON."""
 
 from collections.abc import Callable, Iterable
 from time import time
@@ -16,7 +16,12 @@
 
 
 class Reports:
-    """Reads the parts of a node; changes none of them."""
+    """Read-only reports about the components of a node.
+
+    ``kept`` holds the account snapshots stored for peers and callers,
+    ``slots`` is the configured number of slots of the target, and
+    ``suppressed`` returns how many log records were rate limited.
+    """
 
     def __init__(
         self,
@@ -32,7 +37,6 @@
         slots: int,
         suppressed: Callable[[], int],
     ) -> None:
-        """Take the parts; ``suppressed`` counts the logs held back."""
         self._control = control
         self._gate = gate
         self._account = account
@@ -45,12 +49,12 @@
         self._suppressed = suppressed
 
     def status(self) -> dict[str, Any]:
-        """Return the node at a glance."""
+        """Return state, load, call counts and known members of services."""
         load = self._gate.load()
         snapshot = self._account.snapshot(time())
         lines = snapshot.lines
         return {
-            **self._names(),
+            **self._node_fields(),
             'service': self._control.identity.service,
             'failure_domain': self._control.identity.failure_domain,
             'state': self._life.state,
@@ -60,7 +64,7 @@
             'limit': load.limit,
             'slots': self._slots,
             'sent_bytes': self._link.sent_bytes,
-            'threshold': _shown_threshold(self._gate.threshold),
+            'threshold': _capped_threshold(self._gate.threshold),
             'arrived': sum(line.arrived for line in lines),
             'answered': sum(line.answered for line in lines),
             'refused': sum(line.refused for line in lines),
@@ -75,20 +79,20 @@
         }
 
     def rules(self) -> dict[str, Any]:
-        """Return the rules in force and the conflicts on record."""
+        """Return the version of the rules in force and recorded conflicts."""
         rules = self._control.rules
         since = rules.in_force_since
         return {
-            **self._names(),
+            **self._node_fields(),
             'version': rules.version.as_dict() if rules.version else None,
             'in_force_for_seconds': 0 if since is None else now() - since,
-            'conflicts': [_conflict_fields(one) for one in rules.conflicts],
+            'conflicts': [_conflict_fields(entry) for entry in rules.conflicts],
         }
 
     def account(self) -> dict[str, Any]:
-        """Return the own account and those kept for others."""
+        """Return the node's own account and those stored for others."""
         return {
-            **self._names(),
+            **self._node_fields(),
             'account': self._account.snapshot(time()).as_dict(),
             'held_by_service': {
                 self._control.identity.service: self._gate.unanswered,
@@ -98,12 +102,15 @@
         }
 
     def traces(self, some_id: str) -> dict[str, Any]:
-        """Return the recent spans of a trace or request."""
+        """Return the recent spans of a trace id or request id."""
         spans = self._traces.recent(some_id)
-        return {**self._names(), 'spans': [span.as_dict() for span in spans]}
+        return {
+            **self._node_fields(),
+            'spans': [span.as_dict() for span in spans],
+        }
 
     def metrics(self, accepts: list[str]) -> tuple[bytes, dict[str, str]]:
-        """Return the exposition and its headers."""
+        """Return the metrics exposition and its HTTP headers."""
         self._metrics.export_account(self._account.snapshot(time()))
         load = self._gate.load()
         service = self._control.identity.service
@@ -113,7 +120,7 @@
             'lovageshunt_admission_threshold',
             service,
         )
-        threshold.value = _shown_threshold(self._gate.threshold)
+        threshold.value = _capped_threshold(self._gate.threshold)
         generation = self._metrics.cell('lovageshunt_rules_generation')
         generation.value = self._generation()
         sent = self._metrics.cell('lovageshunt_control_bytes_total', 'peers')
@@ -141,7 +148,7 @@
                 )
                 targets.value = count
 
-    def _names(self) -> dict[str, Any]:
+    def _node_fields(self) -> dict[str, Any]:
         identity = self._control.identity
         return {'node': identity.name, 'incarnation': identity.incarnation}
 
@@ -150,7 +157,7 @@
         return 0 if version is None else version.generation
 
 
-def _shown_threshold(threshold: int) -> int:
+def _capped_threshold(threshold: int) -> int:
     return min(threshold, (LOWEST_IMPORTANCE + 1) * RANK_COUNT)
 
 
--- a/src/lovageshunt/node/admin/_security.py
+++ b/src/lovageshunt/node/admin/_security.py
@@ -1,4 +1,4 @@
-"""Reads the files that settings name for the token and for TLS."""
+"""Loads the token, key and TLS files that the settings name."""
 
 from pathlib import Path
 from ssl import SSLContext, SSLError, create_default_context
@@ -10,10 +10,10 @@
 
 
 def read_token(security: SecuritySection) -> str:
-    """Return the admin token, or nothing if settings name no file.
+    """Return the admin token, or an empty string if no file is configured.
 
-    Raises ``SecurityFileError`` for a file that cannot be read or is empty:
-    an empty token would let everyone in.
+    Raises ``SecurityFileError`` for a file that cannot be read or is empty,
+    because an empty token disables authentication.
     """
     if security.admin_token_file is None:
         return ''
@@ -23,14 +23,15 @@
     except (OSError, UnicodeDecodeError) as error:
         raise SecurityFileError('admin_token_file', name, str(error)) from error
     if not token:
-        raise SecurityFileError('admin_token_file', name, 'it is empty')
+        raise SecurityFileError('admin_token_file', name, 'file is empty')
     return token
 
 
 def read_context_key(security: SecuritySection) -> ContextKey | None:
-    """Return the key for contexts, or nothing if settings name no file.
+    """Return the key that signs contexts, or ``None`` if not configured.
 
-    Raises ``SecurityFileError``.
+    Raises ``SecurityFileError`` for a file that cannot be read or holds no
+    valid key.
     """
     if security.context_key_file is None:
         return None
@@ -42,10 +43,10 @@
 
 
 def client_tls(security: SecuritySection) -> SSLContext | None:
-    """Return how this node asks others, or nothing without TLS.
+    """Return the TLS context for requests to peers, ``None`` without TLS.
 
-    It checks them against the authority and shows its own certificate.
-    Raises ``SecurityFileError``.
+    It verifies peers against the authority and presents this node's
+    certificate. Raises ``SecurityFileError``.
     """
     if security.authority_file is None or security.certificate_file is None:
         return None
@@ -71,7 +72,7 @@
 
 
 def ingress_tls(security: SecuritySection) -> ServerTls:
-    """Return how callers are served; they need no certificate."""
+    """Return the TLS files of the ingress; callers need no certificate."""
     return ServerTls(
         certificate_file=security.certificate_file or '',
         key_file=security.key_file or '',
@@ -79,7 +80,7 @@
 
 
 def admin_tls(security: SecuritySection) -> ServerTls:
-    """Return how the admin side is served; it checks whoever shows one."""
+    """Return the TLS files of the admin API, which verifies its clients."""
     return ServerTls(
         certificate_file=security.certificate_file or '',
         key_file=security.key_file or '',
--- a/src/lovageshunt/node/admin/_servers.py
+++ b/src/lovageshunt/node/admin/_servers.py
@@ -1,4 +1,4 @@
-"""uvicorn servers that share the daemon's loop."""
+"""uvicorn servers that share the event loop of the daemon."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -10,39 +10,41 @@
 
 from lovageshunt.client import AsgiApp
 
-#: Longer than clients keep idle connections, so that the client closes first.
+#: Longer than the idle timeout of clients, so that the client closes first.
 _KEEP_ALIVE_SECONDS: Final = 75
-#: Beside ``tls`` in a scope: whether the peer's certificate was checked.
+#: Key in the ``tls`` extension of an ASGI scope: whether the client presented
+#: a certificate that was verified.
 PEER_IS_KNOWN: Final = 'peer_is_known'
 
 
 class EmbeddedServer(Server):
-    """A server that leaves signals to the daemon."""
+    """A uvicorn server that leaves signal handling to the daemon."""
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Capture no signals."""
+        """Install no signal handlers."""
         yield
 
 
 class TlsProtocol(HttpToolsProtocol):
-    """Tells the application who showed a certificate, as ASGI says."""
+    """Reports in the ASGI scope whether the client certificate is verified."""
 
     def on_message_begin(self) -> None:
-        """Begin a request with the peer's certificate in its scope."""
+        """Add the ``tls`` extension to the scope of a new request."""
         super().on_message_begin()
         tls = self.transport.get_extra_info('ssl_object')
         if tls is None:
             return
-        # Only a certificate that was checked against the authority is here.
+        # getpeercert() is non-empty only for a certificate that was verified.
         is_known = bool(tls.getpeercert())
         self.scope['extensions'] = {'tls': {PEER_IS_KNOWN: is_known}}
 
 
 class ServerTls:
-    """The files that make a listener speak TLS; empty names mean none.
+    """Paths of the TLS files of a listener; an empty path means no file.
 
-    With an authority, who shows a certificate is checked against it.
+    With an authority, client certificates are optional, and those presented
+    are verified against it.
     """
 
     __slots__ = ('certificate_file', 'key_file', 'authority_file')
@@ -54,7 +56,6 @@
         key_file: str = '',
         authority_file: str = '',
     ) -> None:
-        """Take the names of the files."""
         self.certificate_file = certificate_file
         self.key_file = key_file
         self.authority_file = authority_file
@@ -66,7 +67,7 @@
     tls: ServerTls,
     drain_seconds: int,
 ) -> EmbeddedServer:
-    """Return a server for ``address`` (IP:PORT), not yet started."""
+    """Return a server for ``address`` (IP:PORT) that is not started yet."""
     host, port = address.rsplit(':', 1)
     config = Config(
         app,
--- a/tests/node/admin/test_security.py
+++ b/tests/node/admin/test_security.py
@@ -1,4 +1,4 @@
-"""TLS and the admin token, end to end."""
+"""TLS, the admin token and signed contexts, end to end."""
 
 import asyncio
 import ssl
@@ -23,15 +23,14 @@
 
 
 class Counting:
-    """A raw target that counts what ran."""
+    """An ASGI target that counts requests by path and records contexts."""
 
     def __init__(self):
-        """Begin with nothing run."""
         self.ran = Counter()
         self.contexts = []
 
     async def __call__(self, scope, receive, send):
-        """Serve one request of the node."""
+        """Serve one request from the node."""
         await read_body(receive)
         self.ran[scope['path']] += 1
         context = dict(scope['headers']).get(CONTEXT_HEADER.encode())
@@ -42,25 +41,25 @@
 
 @pytest.fixture(scope='module')
 def folder(tmp_path_factory):
-    """Return where the files of all tests are."""
+    """Return the directory for the files of all tests."""
     return tmp_path_factory.mktemp('security')
 
 
 @pytest.fixture(scope='module')
 def authority(folder):
-    """Return the fleet's authority."""
+    """Return the certificate authority of the fleet."""
     return Authority(folder, 'authority')
 
 
 @pytest.fixture(scope='module')
 def target():
-    """Return the target of every node."""
+    """Return the target shared by all nodes."""
     return Counting()
 
 
 @pytest_asyncio.fixture(scope='module', loop_scope='module')
 async def nodes(folder, authority, target):
-    """Run two nodes of one service by TLS with a token."""
+    """Run two nodes of one service with TLS, a token and a context key."""
     certificate, key = authority.certificate('node')
     (folder / 'key').write_bytes(KEY)
     (folder / 'token').write_text('open sesame\n', encoding='utf-8')
@@ -76,7 +75,10 @@
 
 
 def trusting(authority, certificate=None):
-    """Return a context that checks servers, and may show a certificate."""
+    """Return a TLS context that verifies servers with the authority.
+
+    With ``certificate`` it presents that as the client certificate.
+    """
     tls = ssl.create_default_context(cafile=authority.path)
     if certificate is not None:
         tls.load_cert_chain(*certificate)
@@ -84,7 +86,7 @@
 
 
 async def post(address, path, tls, token='open sesame'):
-    """Post an empty body to an admin side; return the status."""
+    """Post an empty body to an admin API; return the status."""
     async with (
         aiohttp.ClientSession() as session,
         session.post(
@@ -101,8 +103,8 @@
     """Nodes with certificates of one authority."""
 
     async def test_client_and_peers(self, nodes, authority, target):
-        """Callers are served by TLS, and nodes reach each other."""
-        # The deployment is ready only once each node took the other's word.
+        """Callers are served over TLS, and nodes reach each other."""
+        # The deployment is ready only once the nodes have confirmed each other.
         client = Client(
             ClientOptions(
                 name='phone',
@@ -120,14 +122,14 @@
         assert target.ran['/basket'] == 1
 
     async def test_plain_http(self, nodes):
-        """Without TLS neither side answers."""
+        """Neither ingress nor admin API responds to plain HTTP."""
         for address in (nodes['shop-1'].ingress, nodes['shop-1'].admin):
             async with aiohttp.ClientSession() as session:
                 with pytest.raises(aiohttp.ClientError):
                     await session.get(f'http://{address}/basket')
 
     async def test_inquiry(self, nodes, authority, target):
-        """A resend through another node gets the first one's answer."""
+        """A retry through another node gets the answer of the first attempt."""
         headers = {'idempotency-key': 'order-1'}
         statuses = []
         async with aiohttp.ClientSession() as session:
@@ -145,18 +147,18 @@
         assert target.ran['/order'] == 1
 
     async def test_peer_without_certificate(self, nodes, authority):
-        """What only nodes send is refused without a certificate."""
+        """A path for peers is refused without a client certificate."""
         known = authority.certificate('other')
         admin = nodes['shop-1'].admin
         refused = await post(admin, EXCHANGE, trusting(authority))
-        taken = await post(admin, EXCHANGE, trusting(authority, known))
+        accepted = await post(admin, EXCHANGE, trusting(authority, known))
 
         assert refused == 403
-        # The certificate passed; the empty body is no envelope.
-        assert taken == 400
+        # The certificate is valid; the empty body is no envelope.
+        assert accepted == 400
 
     async def test_peer_of_other_authority(self, nodes, authority, tmp_path):
-        """A certificate of another authority ends the connection."""
+        """A client certificate of another authority ends the connection."""
         foreign = Authority(tmp_path, 'foreign').certificate('stranger')
         with pytest.raises(aiohttp.ClientError):
             await post(
@@ -166,7 +168,7 @@
             )
 
     async def test_commands(self, nodes, authority, folder, capsys):
-        """Commands reach the admin side with authority and token."""
+        """CLI commands reach the admin API with authority and token."""
         code = await asyncio.to_thread(
             main,
             [
@@ -182,7 +184,7 @@
 
     @pytest.mark.parametrize('token', ['', 'open', 'open sesame!', 'ö'])
     async def test_wrong_token(self, nodes, authority, token):
-        """A wrong token is refused, also for a drain."""
+        """A request with a wrong token is refused and drains nothing."""
         admin = nodes['shop-1'].admin
         status = await post(admin, '/v1/drain', trusting(authority), token)
         is_serving = nodes['shop-1'].parts.runtime.is_serving
@@ -193,10 +195,10 @@
 
 @pytest.mark.asyncio(loop_scope='module')
 class TestContextKey:
-    """Nodes that share a key for contexts."""
+    """Nodes that share a key that signs contexts."""
 
     async def call(self, nodes, authority, key):
-        """Call as a program that embeds the library; say what arrived."""
+        """Call through the library, claiming top importance and 50 retries."""
         client = Client(
             ClientOptions(
                 name='phone',
@@ -216,7 +218,7 @@
         assert reply.is_ok()
 
     async def test_claim(self, nodes, authority, target):
-        """Who has no key cannot claim importance or retries."""
+        """A caller without the key cannot claim importance or retries."""
         await self.call(nodes, authority, None)
         context = target.contexts[-1]
 
@@ -224,7 +226,7 @@
         assert context['retries_left'] <= 3
 
     async def test_holder(self, nodes, authority, target):
-        """Who has the key is believed."""
+        """The claims of a caller with the key are accepted."""
         await self.call(nodes, authority, ContextKey(KEY))
         context = target.contexts[-1]
 
@@ -233,7 +235,7 @@
 
 
 class TestFiles:
-    """Files that settings name."""
+    """Security files that the settings name."""
 
     @pytest.mark.parametrize(
         ('key', 'text'),
@@ -245,8 +247,8 @@
             ('context_key_file', 'short'),
         ],
     )
-    def test_useless_file(self, tmp_path, authority, key, text):
-        """A file that is of no use is named before anything is opened."""
+    def test_unusable_file(self, tmp_path, authority, key, text):
+        """An unusable file raises an error with its key, before start-up."""
         certificate, key_path = authority.certificate('node')
         by_key = {
             'certificate_file': certificate,
