--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a node from its settings."""
+"""Wires the components of a node together from its settings."""
 
 from collections.abc import Callable
 from random import Random
@@ -9,7 +9,7 @@
 from lovageshunt.calls import ContextKey
 from lovageshunt.client import ClientOptions, Engine, Transport
 from lovageshunt.membership import new_incarnation
-from lovageshunt.node._decisions import election_of, gate_of
+from lovageshunt.node._factories import build_election, build_gate
 from lovageshunt.node._runtime import Runtime
 from lovageshunt.node.admin._admin import Admin
 from lovageshunt.node.admin._reports import Reports
@@ -45,24 +45,25 @@
 from lovageshunt.published import PlatformReader
 from lovageshunt.settings import NodeSettings
 
-_SLOW_SECONDS: Final = 1.0
-#: Shorter than most servers keep idle connections: a call that must not
-#: repeat may not meet a connection that its target is closing.
+#: Spans of this duration or longer are recorded even if not sampled.
+_SLOW_SPAN_SECONDS: Final = 1.0
+#: Shorter than the idle timeout of most servers, so that a call that must not
+#: be repeated is not sent on a connection that the target is closing.
 _TARGET_KEEP_ALIVE_SECONDS: Final = 2.0
 
 
 class Assembly:
-    """Every part of one node, put together."""
+    """The components of one node, and the order in which they are wired.
+
+    ``suppressed`` returns how many log records were rate limited. No
+    connection is opened before ``open``.
+    """
 
     def __init__(
         self,
         settings: NodeSettings,
         suppressed: Callable[[], int],
     ) -> None:
-        """Build the parts; nothing is opened yet.
-
-        ``suppressed`` counts the logs held back.
-        """
         self._settings = settings
         self._suppressed = suppressed
         self._build_links(Random())  # noqa: S311
@@ -72,12 +73,12 @@
         self.runtime = self._runtime()
 
     async def open(self) -> None:
-        """Open the transports; called on the loop that will use them."""
+        """Open the transports; must run on the event loop that uses them."""
         await self._transport.start()
         await self._plain.start()
 
     async def close(self) -> None:
-        """Cancel what still runs and close every connection."""
+        """Cancel running tasks and close all connections."""
         await self._platform.stop()
         await self._calls.stop()
         await self._transport.close()
@@ -85,24 +86,24 @@
 
     @property
     def rules_generation(self) -> int:
-        """Return the generation in force, 0 before there is one."""
+        """Return the generation of the rules in force; 0 before the first."""
         document = self._control.rules.current
         return 0 if document is None else document.generation
 
     @property
     def request_ids(self) -> list[str]:
-        """Return the requests whose calls are in progress."""
+        """Return the sorted request ids of the calls in progress."""
         return self._calls.request_ids
 
     def servers(self) -> tuple[EmbeddedServer, ...]:
-        """Return the servers of calls, of the admin side and of egress."""
+        """Return the ingress and admin servers, and egress if configured."""
         ingress = Ingress(
             control=self._control,
             gate=self._gate,
             calls=self._calls,
             meter=self._meter,
             max_body_bytes=self._settings.limits.body_bytes,
-            check_for_pause=self.runtime.observe,
+            check_for_pause=self.runtime.check_for_pause,
             keep_account=self.runtime.keep_account,
             calls_below=bool(self._settings.calls.services),
             key=self._key,
@@ -132,7 +133,7 @@
         egress_address = self._settings.listen.egress
         if egress_address is not None:
             address = str(egress_address)
-            # Loopback only, like the link to the target: no TLS is needed.
+            # Egress is on loopback only, as the target is: it needs no TLS.
             servers.append(
                 make_server(
                     self._egress(), address, ServerTls(), drain_seconds
@@ -171,7 +172,7 @@
         fleet = FleetView(
             identity=self._identity,
             called_services=settings.calls.services,
-            election=election_of(settings, rng),
+            election=build_election(settings, rng),
             outbox=self._outbox,
             rng=rng,
         )
@@ -207,7 +208,7 @@
         self._traces = Traces(
             node=identity.name,
             share=self._settings.traces.sample_ratio,
-            slow_seconds=_SLOW_SECONDS,
+            slow_seconds=_SLOW_SPAN_SECONDS,
         )
         self._meter = CallMeter(
             identity.service,
@@ -218,7 +219,7 @@
 
     def _build_calls(self) -> None:
         settings = self._settings
-        self._gate = gate_of(settings, self._identity)
+        self._gate = build_gate(settings, self._identity)
         self._target = self._target_link()
         self._inquiries = Inquiries(
             self._control,
--- a/src/lovageshunt/node/_daemon.py
+++ b/src/lovageshunt/node/_daemon.py
@@ -1,4 +1,4 @@
-"""Runs a node from its settings to its planned stop."""
+"""Process lifecycle of a node: start-up, signals and graceful shutdown."""
 
 from asyncio import Task, create_task, gather, get_running_loop, wait
 from collections.abc import Callable
@@ -12,77 +12,82 @@
 from lovageshunt.settings import NodeSettings
 
 _log = getLogger(__name__)
-#: The least time for answers that are written when the servers end.
-_FLUSH_SECONDS: Final = 1.0
-#: Requests named in one log line.
-_MAX_NAMED: Final = 20
+#: Minimum time to finish writing responses when the servers shut down.
+_MIN_FLUSH_SECONDS: Final = 1.0
+#: Request ids listed in one log line.
+_MAX_LOGGED_REQUESTS: Final = 20
 
 
 class NodeDaemon:
-    """One node: its parts, its servers, and its life."""
+    """One node: its components, its servers and their lifecycle.
+
+    ``suppressed`` returns how many log records were rate limited. No
+    connection is opened before ``run``.
+    """
 
     def __init__(
         self,
         settings: NodeSettings,
         suppressed: Callable[[], int],
     ) -> None:
-        """Build the parts; nothing is opened yet.
-
-        ``suppressed`` counts the logs held back.
-        """
-        self._parts = Assembly(settings, suppressed)
+        self._assembly = Assembly(settings, suppressed)
         self._running: Task[None] | None = None
         self._servers: tuple[EmbeddedServer, ...] = ()
-        self._is_hurried = False
+        self._was_forced = False
 
     async def run(self) -> int:
-        """Serve until a planned stop is over; return the exit code.
+        """Serve until a graceful shutdown completes; return the exit code.
 
-        The first signal begins the stop; a second one ends it at once. The
-        exit code is 1 after a second one, and when calls are cut off.
+        The first SIGTERM or SIGINT starts the shutdown; the second stops at
+        once. The exit code is 1 after a second signal or if calls were
+        aborted.
         """
-        await self._parts.open()
+        await self._assembly.open()
         loop = get_running_loop()
-        for number in (SIGTERM, SIGINT):
-            loop.add_signal_handler(number, self._on_signal)
-        self._servers = self._parts.servers()
+        for signal_number in (SIGTERM, SIGINT):
+            loop.add_signal_handler(signal_number, self._on_signal)
+        self._servers = self._assembly.servers()
         serving = [create_task(server.serve()) for server in self._servers]
-        running = create_task(self._parts.runtime.run())
+        running = create_task(self._assembly.runtime.run())
         self._running = running
         await wait((running,))
-        has_cut = self._log_cut()
+        has_aborted_calls = self._log_aborted_calls()
         self._end_servers()
         await gather(*serving, return_exceptions=True)
-        await self._parts.close()
+        await self._assembly.close()
         if not running.cancelled():
-            # An error of the runtime is raised here, after all was closed.
+            # Re-raises an error of the runtime once everything is closed.
             running.result()
-        return int(has_cut or self._is_hurried)
+        return int(has_aborted_calls or self._was_forced)
 
-    def _log_cut(self) -> bool:
-        """Name the requests that are cut off; say whether there are any."""
-        request_ids = self._parts.request_ids
+    def _log_aborted_calls(self) -> bool:
+        """Log the requests that are aborted; return whether there are any."""
+        request_ids = self._assembly.request_ids
         if request_ids:
             _log.error(
-                'the stop cuts off %d calls, of requests %s',
+                'shutdown aborts %d calls in progress, of requests %s',
                 len(request_ids),
-                ', '.join(request_ids[:_MAX_NAMED]),
+                ', '.join(request_ids[:_MAX_LOGGED_REQUESTS]),
             )
         return bool(request_ids)
 
     def _end_servers(self) -> None:
-        # Answers on their way have what is left of the drain.
-        left = max(_FLUSH_SECONDS, self._parts.runtime.drain_seconds_left)
+        # Responses being written get what is left of the drain period.
+        flush_seconds = max(
+            _MIN_FLUSH_SECONDS, self._assembly.runtime.drain_seconds_left
+        )
         for server in self._servers:
-            server.config.timeout_graceful_shutdown = ceil(left)
+            server.config.timeout_graceful_shutdown = ceil(flush_seconds)
             server.should_exit = True
 
     def _on_signal(self) -> None:
-        if not self._parts.runtime.is_leaving:
-            self._parts.runtime.begin_leave()
+        if not self._assembly.runtime.is_leaving:
+            self._assembly.runtime.begin_leave()
             return
-        _log.warning('second signal: stopping at once')
-        self._is_hurried = True
+        _log.warning(
+            'second stop signal received: aborting calls and stopping at once',
+        )
+        self._was_forced = True
         for server in self._servers:
             server.force_exit = True
         if self._running is not None:
--- a/src/lovageshunt/node/_decisions.py
+++ b/src/lovageshunt/node/_factories.py
@@ -1,4 +1,4 @@
-"""Builds the decisions of a node from its settings."""
+"""Factories for the decision-making parts of a node, without I/O."""
 
 from random import Random
 from typing import Final
@@ -15,8 +15,8 @@
 _MS_PER_SECOND: Final = 1000
 
 
-def election_of(settings: NodeSettings, rng: Random) -> ReaderElection:
-    """Return what decides whether this node reads the platform."""
+def build_election(settings: NodeSettings, rng: Random) -> ReaderElection:
+    """Return the election that decides whether this node polls the platform."""
     return ReaderElection(
         settings.node.name,
         settings.node.failure_domain,
@@ -30,8 +30,8 @@
     )
 
 
-def gate_of(settings: NodeSettings, identity: Identity) -> Gate:
-    """Return what decides about calls."""
+def build_gate(settings: NodeSettings, identity: Identity) -> Gate:
+    """Return the gate that admits, queues, deduplicates and refuses calls."""
     limits = settings.limits
     admission = AdmissionSettings(
         slots=settings.target.slots,
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -1,4 +1,4 @@
-"""One node while it runs: its timer, its peers and its planned stop."""
+"""The main loop of a node: timer, peer messages and graceful shutdown."""
 
 from asyncio import Event, sleep
 from logging import getLogger
@@ -36,18 +36,23 @@
 from lovageshunt.observability import Cell
 from lovageshunt.retries import PeerReported
 
-#: The timer turns this often.
+#: Interval of the main loop.
 TICK_SECONDS: Final = 0.1
-#: A turn that is later than this was a pause.
+#: A tick later than this means that the process was paused.
 PAUSE_SLACK_SECONDS: Final = 1.0
-_LOAD_SECONDS: Final = 1.0
-_CONTROL_SECONDS: Final = 0.5
-_ACCOUNTS_SECONDS: Final = 1.0
+_LOAD_INTERVAL_SECONDS: Final = 1.0
+_CONTROL_INTERVAL_SECONDS: Final = 0.5
+_ACCOUNTS_INTERVAL_SECONDS: Final = 1.0
 _log = getLogger(__name__)
 
 
 class Runtime:
-    """Turns the timer, takes what peers send, and leaves in order."""
+    """Runs the main loop, handles peer messages and drains on shutdown.
+
+    ``pauses`` counts detected pauses of the process. On shutdown the node
+    stays up for at least ``leave_seconds``, and for up to ``drain_seconds``
+    while calls are in progress.
+    """
 
     def __init__(
         self,
@@ -65,7 +70,6 @@
         leave_seconds: float,
         drain_seconds: float,
     ) -> None:
-        """Take the parts; ``pauses`` counts pauses, ``run`` starts all."""
         self.identity = identity
         self._control = control
         self._gate = gate
@@ -83,57 +87,63 @@
             tick_seconds=TICK_SECONDS,
             slack_seconds=PAUSE_SLACK_SECONDS,
         )
-        self._seen_at = now()
-        self._load_at = now()
-        self._control_at = now()
-        self._accounts_at = now()
+        self._checked_at = now()
+        self._next_load_at = now()
+        self._next_control_at = now()
+        self._next_accounts_at = now()
         self._leaving = Event()
-        self._errands = BackgroundJobs()
-        self._drained_by: float | None = None
+        self._background_jobs = BackgroundJobs()
+        self._drain_deadline: float | None = None
         control.fleet.leave = self.begin_leave
 
     @property
     def state(self) -> str:
-        """Return the node's state by its chart."""
+        """Return the current state in the node's lifecycle chart."""
         return self._life.state
 
     @property
     def is_leaving(self) -> bool:
-        """Return whether a planned stop has begun."""
+        """Return whether a graceful shutdown has started."""
         return self._life.is_leaving
 
     @property
     def is_serving(self) -> bool:
-        """Return whether the node takes calls of every kind."""
+        """Return whether the node accepts calls of every kind."""
         return self._life.is_serving
 
     @property
     def drain_seconds_left(self) -> float:
-        """Return how long a planned stop may still wait for answers."""
-        if self._drained_by is None:
+        """Return the rest of the drain period; 0 unless draining."""
+        if self._drain_deadline is None:
             return 0
-        return max(0, self._drained_by - now())
+        return max(0, self._drain_deadline - now())
+
+    def check_for_pause(self) -> None:
+        """Detect a pause of the process before the next decision is made.
 
-    def observe(self) -> None:
-        """Notice a pause before the next decision is made."""
+        After a pause, timers and the view of the peers may be stale.
+        """
         at = now()
-        gap = at - self._seen_at
-        self._seen_at = at
+        gap = at - self._checked_at
+        self._checked_at = at
         if self._epochs.observe(at):
             self._pauses.value += 1
-            _log.warning('the process was paused for %.1f s', gap)
+            _log.warning(
+                'process was paused for %.1f s; re-evaluating calls and peers',
+                gap,
+            )
             self._calls.handle(Resumed(gap_seconds=gap))
             self._control.tell(PauseEnded())
             self._settler.restart()
 
     def handle(self, event: Record) -> None:
-        """Take an event about single calls."""
-        self.observe()
+        """Handle an event that concerns a single call."""
+        self.check_for_pause()
         self._calls.handle(event)
 
     def handle_envelope(self, envelope: Envelope) -> None:
-        """Take what a peer sent."""
-        self.observe()
+        """Handle an envelope of control messages from a peer."""
+        self.check_for_pause()
         self._control.take(envelope)
         for raw in envelope.snapshots:
             self.keep_account(raw)
@@ -142,12 +152,12 @@
             self._calls.handle(reported)
 
     def keep_account(self, raw: bytes) -> None:
-        """Keep an account; raises ``MalformedSnapshotError``."""
+        """Store an account snapshot; raises ``MalformedSnapshotError``."""
         snapshot = decode_snapshot(raw)
         self._keeping.handle(SnapshotHeard(now=now(), snapshot=snapshot))
 
     async def answer_inquiry(self, question: InquiryReceived) -> InquiryAnswer:
-        """Return the answer to a peer's question about a call."""
+        """Answer a peer's inquiry about a call; raises ``TimeoutError``."""
         peers = self._control.fleet.peers
         question.peers = peers.peers or ()
         question.gone = peers.gone(now())
@@ -160,44 +170,47 @@
         return await wait_for_answer(answer)
 
     def begin_leave(self) -> None:
-        """Begin a planned stop; nothing in progress is cut off."""
+        """Start a graceful shutdown: refuse new calls, finish those running."""
         if not self._life.step('leave'):
             return
-        _log.info('leaving: new calls are refused, %d go on', self._in_progress)
+        _log.info(
+            'graceful shutdown: refusing new calls, finishing %d in progress',
+            self._calls_in_progress,
+        )
         self._calls.handle(LeaveBegun())
         self._control.begin_leave()
         self._leaving.set()
 
     async def run(self) -> None:
-        """Turn the timer until a planned stop is over."""
+        """Run the main loop until a graceful shutdown completes."""
         self._life.step('settle')
         while not self._leaving.is_set():
-            await self._turn()
-        self._errands.cancel()
+            await self._tick()
+        self._background_jobs.cancel()
         await self._leave()
         self._life.step('stop')
 
-    async def _turn(self) -> None:
-        self.observe()
+    async def _tick(self) -> None:
+        self.check_for_pause()
         self._calls.handle(TimePassed())
         self._tick_control()
-        if self._has_list:
-            self._errands.start('settle', self._settler.turn)
-        if now() >= self._load_at:
-            self._load_at = now() + _LOAD_SECONDS
-            self._errands.start('load', self._read_load)
+        if self._has_peer_list:
+            self._background_jobs.start('settle', self._settler.turn)
+        if now() >= self._next_load_at:
+            self._next_load_at = now() + _LOAD_INTERVAL_SECONDS
+            self._background_jobs.start('load', self._read_load)
         self._send_accounts()
         await sleep(TICK_SECONDS)
 
     @property
-    def _has_list(self) -> bool:
+    def _has_peer_list(self) -> bool:
         return self._control.fleet.peers.peers is not None
 
     def _tick_control(self) -> None:
-        # Less often than calls need it: each turn costs the calls beside it.
-        if now() < self._control_at:
+        # Runs less often than the main loop, because it delays calls.
+        if now() < self._next_control_at:
             return
-        self._control_at = now() + _CONTROL_SECONDS
+        self._next_control_at = now() + _CONTROL_INTERVAL_SECONDS
         self._control.tick()
 
     async def _read_load(self) -> None:
@@ -210,9 +223,9 @@
             self._calls.handle(reported)
 
     def _send_accounts(self) -> None:
-        if now() < self._accounts_at:
+        if now() < self._next_accounts_at:
             return
-        self._accounts_at = now() + _ACCOUNTS_SECONDS
+        self._next_accounts_at = now() + _ACCOUNTS_INTERVAL_SECONDS
         tick = KeepingTick(
             now=now(),
             wall_time=time(),
@@ -221,14 +234,14 @@
         self._control.send_snapshots(self._keeping.handle(tick))
 
     @property
-    def _in_progress(self) -> int:
+    def _calls_in_progress(self) -> int:
         return self._gate.in_progress
 
     async def _leave(self) -> None:
         left_at = now()
-        self._drained_by = left_at + self._drain_seconds
-        while self._must_stay(now() - left_at):
-            await self._leaving_turn()
+        self._drain_deadline = left_at + self._drain_seconds
+        while self._must_keep_running(now() - left_at):
+            await self._tick_while_leaving()
         self._calls.handle(Drained())
         closed = AccountClosed(
             now=now(),
@@ -239,13 +252,13 @@
         await self._inquiries.flush()
         await self._control.drain()
 
-    async def _leaving_turn(self) -> None:
-        self.observe()
+    async def _tick_while_leaving(self) -> None:
+        self.check_for_pause()
         self._calls.handle(TimePassed())
         self._tick_control()
         await sleep(TICK_SECONDS)
 
-    def _must_stay(self, seconds: float) -> bool:
+    def _must_keep_running(self, seconds: float) -> bool:
         if seconds < self._leave_seconds:
             return True
-        return self._in_progress > 0 and seconds < self._drain_seconds
+        return self._calls_in_progress > 0 and seconds < self._drain_seconds
--- a/tests/node/parts.py
+++ b/tests/node/parts.py
@@ -1,4 +1,4 @@
-"""Nodes in this process, their platform and raw targets."""
+"""Runs nodes, their platform and plain ASGI targets in this process."""
 
 import asyncio
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -23,15 +23,17 @@
 shop;order;POST;/;0;no;5;3
 stock;count;GET;/;5;yes;5;3
 """
-#: That stock may call as well keeps shares of retries going to it.
+#: Stock calls shop too, so that it is granted a share of the retries.
 CALLS = {'shop': 'stock', 'stock': 'shop'}
 
 
 class NodeParts:
-    """One node: its addresses, and its parts once it runs."""
+    """Addresses of one node on free ports, and its assembly once it runs.
+
+    The name of the node is SERVICE-NUMBER.
+    """
 
     def __init__(self, name):
-        """Give the node free ports; its name is SERVICE-NUMBER."""
         self.name = name
         self.service = name.rpartition('-')[0]
         self.ingress = free_address()
@@ -41,7 +43,7 @@
         self.parts = None
 
     def listing(self):
-        """Return the node's entry in the published list."""
+        """Return the entry of the node in the published VM list."""
         return {
             'name': self.name,
             'service': self.service,
@@ -53,7 +55,7 @@
         }
 
     def settings(self, platform, more):
-        """Return the node's settings as a file has them."""
+        """Return the settings file of the node; ``more`` is appended."""
         return (
             f'[node]\nname={self.name}\nservice={self.service}\n'
             'failure_domain=a\nregion=one\n'
@@ -68,7 +70,7 @@
 
 
 async def read_body(receive):
-    """Return the whole body of a raw ASGI request."""
+    """Return the complete body of an ASGI request."""
     body = b''
     is_more = True
     while is_more:
@@ -79,7 +81,7 @@
 
 
 async def answer(send, status=200, body=b'', headers=()):
-    """Send a whole raw ASGI answer."""
+    """Send a complete ASGI response."""
     await send(
         {'type': 'http.response.start', 'status': status, 'headers': headers},
     )
@@ -88,7 +90,7 @@
 
 @asynccontextmanager
 async def serving(*servers: EmbeddedServer):
-    """Run servers."""
+    """Run the servers until the end of the block."""
     tasks = [asyncio.create_task(server.serve()) for server in servers]
     while not all(server.started for server in servers):
         await asyncio.sleep(0.01)
@@ -106,18 +108,18 @@
     node.parts = Assembly(load_node_settings(path).ok, int)
     await node.parts.open()
     async with serving(*node.parts.servers()):
-        life = asyncio.create_task(node.parts.runtime.run())
+        run_task = asyncio.create_task(node.parts.runtime.run())
         try:
             yield
         finally:
             node.parts.runtime.begin_leave()
-            await life
+            await run_task
     await node.parts.close()
 
 
 @asynccontextmanager
 async def deployment(folder, target_by_name, more=''):
-    """Run a platform, and a node and a raw target for each name."""
+    """Run a platform, and a node with an ASGI target for each name."""
     nodes = {name: NodeParts(name) for name in target_by_name}
     platform = free_address()
     state = PlatformState()
@@ -141,7 +143,7 @@
         try:
             yield nodes
         finally:
-            # Ends the watches that the platform holds open.
+            # Ends the watch requests that the platform holds open.
             state.control({'outage': True})
 
 
--- a/tests/node/test_daemon.py
+++ b/tests/node/test_daemon.py
@@ -1,4 +1,4 @@
-"""The life of a node, from settings to its end."""
+"""Shutdown of a node by signals while a call is in progress."""
 
 import asyncio
 import logging
@@ -14,14 +14,13 @@
 
 
 class Hanging:
-    """A raw target that never answers calls."""
+    """An ASGI target that never responds to calls."""
 
     def __init__(self):
-        """Begin before any call."""
         self.called = asyncio.Event()
 
     async def __call__(self, scope, receive, send):
-        """Hang until the node hangs up."""
+        """Wait until the node disconnects."""
         if scope['path'] in ('/health', '/load'):
             await answer(send, 404)
             return
@@ -31,7 +30,7 @@
 
 
 async def stopped(folder, drain_seconds, signals):
-    """Send a call that hangs, then signals; return the exit code."""
+    """Send a call that hangs, then the signals; return the exit code."""
     node = NodeParts('shop-1')
     path = folder / 'node.ini'
     text = node.settings('127.0.0.1:1', '')
@@ -43,20 +42,20 @@
     server = make_server(target, node.target, ServerTls(), 1)
     async with serving(server), aiohttp.ClientSession() as session:
         daemon = NodeDaemon(load_node_settings(path).ok, int)
-        living = asyncio.create_task(daemon.run())
-        asking = asyncio.create_task(ask(session, node.ingress))
+        run_task = asyncio.create_task(daemon.run())
+        request_task = asyncio.create_task(ask(session, node.ingress))
         await target.called.wait()
         for _ in range(signals):
             raise_signal(SIGTERM)
             await asyncio.sleep(0.05)
         async with asyncio.timeout(10):
-            code = await living
-        asking.cancel()
+            code = await run_task
+        request_task.cancel()
     return code
 
 
 async def ask(session, address):
-    """Send a request until the node listens."""
+    """Send a request, retrying until the node accepts connections."""
     headers = {
         'idempotency-key': 'cut-1',
         'lovageshunt-timeout-ms': '100000',
@@ -75,17 +74,17 @@
     """``NodeDaemon``."""
 
     async def test_second_signal(self, tmp_path, caplog):
-        """A second signal ends the node at once and names what it cuts."""
+        """A second signal stops the node at once and logs aborted requests."""
         with caplog.at_level(logging.WARNING):
             code = await stopped(tmp_path, drain_seconds=60, signals=2)
 
         assert code == 1
-        assert 'cuts off 1 calls, of requests cut-1' in caplog.text
+        assert 'aborts 1 calls in progress, of requests cut-1' in caplog.text
 
     async def test_end_of_drain(self, tmp_path, caplog):
-        """A drain that cannot finish ends, and names what it cuts."""
+        """A drain that times out ends and logs the aborted requests."""
         with caplog.at_level(logging.WARNING):
             code = await stopped(tmp_path, drain_seconds=1, signals=1)
 
         assert code == 1
-        assert 'cuts off 1 calls, of requests cut-1' in caplog.text
+        assert 'aborts 1 calls in progress, of requests cut-1' in caplog.text
--- a/tests/node/test_runtime.py
+++ b/tests/node/test_runtime.py
@@ -1,4 +1,4 @@
-"""The node's timer."""
+"""The main loop of a node."""
 
 import asyncio
 from types import SimpleNamespace
@@ -7,32 +7,31 @@
 from lovageshunt.node.control._life import NodeLife
 from lovageshunt.node.gate._messages import TimePassed
 
-_TURNS = 3
-_ENOUGH_SECONDS = 3
+_MIN_TICKS = 3
+_TIMEOUT_SECONDS = 3
 
 
 class CountingCalls:
-    """Counts the turns of the timer."""
+    """Counts the ticks of the main loop."""
 
     def __init__(self):
-        """Begin with none."""
-        self.turns = 0
-        self.has_turned = asyncio.Event()
+        self.ticks = 0
+        self.has_ticked = asyncio.Event()
 
     def handle(self, event):
-        """Count a turn; tell when there were enough."""
-        self.turns += isinstance(event, TimePassed)
-        if self.turns >= _TURNS:
-            self.has_turned.set()
+        """Count a tick; set the event once there were enough."""
+        self.ticks += isinstance(event, TimePassed)
+        if self.ticks >= _MIN_TICKS:
+            self.has_ticked.set()
 
 
 async def hang(*args):
-    """Give no answer."""
+    """Never return."""
     await asyncio.Event().wait()
 
 
 def make_runtime(calls):
-    """Return a runtime whose target and peers give no answer."""
+    """Return a runtime whose target and peers never respond."""
     fleet = SimpleNamespace(peers=SimpleNamespace(peers=()), leave=None)
     control = SimpleNamespace(
         fleet=fleet,
@@ -56,15 +55,18 @@
     )
 
 
-class TestTimer:
-    """What must not wait for others."""
+class TestMainLoop:
+    """The main loop must not wait for the target or for peers."""
 
-    async def test_turns_while_target_and_peers_are_silent(self):
-        """Deadlines are kept, and no pause is seen where there was none."""
+    async def test_ticks_while_target_and_peers_are_silent(self):
+        """The loop keeps ticking while the target and the peers hang.
+
+        Otherwise deadlines are missed, and the late tick counts as a pause.
+        """
         calls = CountingCalls()
         running = asyncio.create_task(make_runtime(calls).run())
-        async with asyncio.timeout(_ENOUGH_SECONDS):
-            await calls.has_turned.wait()
+        async with asyncio.timeout(_TIMEOUT_SECONDS):
+            await calls.has_ticked.wait()
         running.cancel()
 
-        assert calls.turns >= _TURNS
+        assert calls.ticks >= _MIN_TICKS
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -244,7 +244,7 @@
     """Look into the log of the node's process."""
     log = world.fleet.folder / f'{node}.node.log'
     lines = log.read_text(encoding='utf-8').splitlines()
-    assert any('cuts off' in line and name in line for line in lines)
+    assert any('aborts' in line and name in line for line in lines)
 
 
 @when(parsers.parse('{node} is stopped and gone'))
