--- a/tests/scenarios/cancelling.feature
+++ b/tests/scenarios/cancelling.feature
@@ -1,10 +1,10 @@
-Feature: A caller that goes away
+Feature: Cancellation when the caller disconnects
 
   Background:
-    Given a deployment that serves
+    Given a running deployment
 
-  Scenario: An abandoned screen stops the lookups below it at once
+  Scenario: Abandoning a screen cancels the lookups made for it
     Given the targets of records take 3000 ms
-    When a screen is asked for and its caller goes away
+    When a screen is requested and its caller disconnects
     Then no call runs at records-1 after 1 s
-    And no lookup of the screen was finished
+    And no lookup of the screen ran to completion
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -1,4 +1,4 @@
-"""The world of the scenarios and their steps."""
+"""Fixtures and step definitions of the scenarios."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture(scope='session')
 def shared_world(tmp_path_factory):
-    """Bring up one deployment for all scenarios."""
+    """Start one deployment for all scenarios."""
     world = World(tmp_path_factory.mktemp('scenarios'))
     world.run(world.start())
     yield world
@@ -22,20 +22,20 @@
 
 @pytest.fixture
 def world(shared_world):
-    """Give each scenario the deployment as it was at first."""
+    """Restore the deployment to its initial state for each scenario."""
     shared_world.run(shared_world.restore())
     shared_world.crashes = 0
     return shared_world
 
 
-@given('a deployment that serves')
+@given('a running deployment')
 def serving(world):
-    """Take the deployment."""
+    """Request the deployment, which ``world`` has restored."""
 
 
 @given(parsers.parse('the targets of {service} take {service_ms:d} ms'))
 def slow_targets(world, service, service_ms):
-    """Make all targets of a service slow."""
+    """Set the service time of all targets of a service."""
     for vm in world.fleet.vms:
         if vm.plan.name == service:
             world.run(
@@ -43,15 +43,15 @@
             )
 
 
-@when('a screen is asked for and its caller goes away')
-def abandoned_screen(world):
-    """Leave while the lookup below the screen runs."""
+@when('a screen is requested and its caller disconnects')
+def screen_disconnects(world):
+    """Disconnect while the lookup made for the screen runs."""
 
     async def leave():
         asking = asyncio.create_task(
             world.send('screens-1', 'abandoned', method='GET', path='/screen'),
         )
-        while not world.lines('records', 'ran', 'abandoned'):
+        while not world.count_events('records', 'ran', 'abandoned'):
             await asyncio.sleep(0.02)
         asking.cancel()
 
@@ -60,41 +60,41 @@
 
 @then(parsers.parse('no call runs at {node} after {seconds:d} s'))
 def nothing_runs(world, node, seconds):
-    """Ask the node's admin side."""
+    """Check the status reported by the admin API of the node."""
     world.run(asyncio.sleep(seconds))
     status = world.run(world.fleet.admin(node, '/v1/status'))
     assert status['running'] == 0
 
 
-@then('no lookup of the screen was finished')
-def nothing_finished(world):
-    """Wait as long as the lookup would have taken."""
+@then('no lookup of the screen ran to completion')
+def lookup_not_finished(world):
+    """Wait for the time that the lookup would have taken."""
     world.run(asyncio.sleep(3))
-    assert world.lines('records', 'ran', 'abandoned') == 1
-    assert world.lines('records', 'finished', 'abandoned') == 0
+    assert world.count_events('records', 'ran', 'abandoned') == 1
+    assert world.count_events('records', 'finished', 'abandoned') == 0
 
 
-@given(parsers.parse('{node} is frozen'))
-def frozen(world, node):
-    """Suspend a node."""
+@given(parsers.parse('{node} is suspended'))
+def suspended(world, node):
+    """Suspend the process of a node."""
     world.fleet.freeze_node(node)
 
 
-@given('the platform is out')
-def platform_out(world):
-    """Let the platform fail."""
+@given('the platform is unavailable')
+def platform_unavailable(world):
+    """Make the platform unavailable."""
     world.run(world.fleet.order({'outage': True}))
 
 
-@then('the platform is back')
-def platform_back(world):
-    """Let the platform answer again."""
+@then('the platform is available again')
+def platform_available(world):
+    """Make the platform available again."""
     world.run(world.fleet.order({'outage': False}))
 
 
-@when(parsers.parse('{node} goes on'))
-def thawed(world, node):
-    """Let a suspended node go on."""
+@when(parsers.parse('{node} resumes'))
+def resumed(world, node):
+    """Resume the process of a node."""
     world.fleet.thaw_node(node)
 
 
@@ -102,7 +102,7 @@
     parsers.parse('purchase "{name}" is sent to {node} as attempt {attempt:d}'),
 )
 def sent(world, name, node, attempt):
-    """Send one attempt and wait for what it is told."""
+    """Send one attempt and wait for the response."""
     world.run(world.send(node, name, attempt=attempt))
 
 
@@ -113,18 +113,19 @@
 )
 def sent_and_answered(world, name, node):
     """Send a first attempt, which must be answered."""
-    told = world.run(world.send(node, name))
-    assert told.outcome == 'answered'
+    result = world.run(world.send(node, name))
+    assert result.outcome == 'answered'
 
 
 @when(
     parsers.parse(
-        'purchase "{name}" is sent to {node} as attempt 1 and given up on',
+        'purchase "{name}" is sent to {node} as attempt 1 and '
+        'the caller times out',
     ),
 )
-def sent_and_given_up(world, name, node):
-    """Send one attempt and leave before it is answered."""
-    assert world.run(world.send(node, name, patience=0.5)) is None
+def sent_and_timed_out(world, name, node):
+    """Send one attempt and time out before it is answered."""
+    assert world.run(world.send(node, name, timeout_seconds=0.5)) is None
 
 
 @when(
@@ -134,16 +135,16 @@
     ),
 )
 def sent_until_answered(world, name, node, attempt):
-    """Send attempts until one is answered or refused for good."""
+    """Send up to five attempts, until one is answered."""
 
-    async def insist():
+    async def send_until_done():
         for number in range(attempt, attempt + 5):
-            told = await world.send(node, name, attempt=number)
-            if told is not None and told.outcome == 'answered':
+            result = await world.send(node, name, attempt=number)
+            if result is not None and result.outcome == 'answered':
                 return
             await asyncio.sleep(1)
 
-    world.run(insist())
+    world.run(send_until_done())
 
 
 @when(
@@ -152,7 +153,7 @@
     ),
 )
 def sent_unnumbered(world, name, node):
-    """Send an attempt that does not say which one it is."""
+    """Send an attempt without its number and age."""
     world.run(world.send(node, name, attempt=None))
 
 
@@ -163,7 +164,7 @@
     ),
 )
 def sent_at_once(world, name):
-    """Send three attempts that overtake each other."""
+    """Send three attempts concurrently, one to each node."""
 
     async def together():
         await asyncio.gather(
@@ -201,7 +202,7 @@
     ),
 )
 def sent_and_stopped(world, name, node, stopped):
-    """Stop a node in order while its target runs the purchase."""
+    """Shut a node down gracefully while its target runs the purchase."""
 
     async def stop():
         sending = asyncio.create_task(world.send(node, name))
@@ -218,11 +219,11 @@
 @when(
     parsers.parse(
         'purchase "{name}" is sent to {node} as attempt 1 and {stopped} '
-        'is signalled twice',
+        'receives two stop signals',
     ),
 )
 def sent_and_signalled_twice(world, name, node, stopped):
-    """Stop a node at once while its target runs the purchase."""
+    """Send two stop signals while the target runs the purchase."""
 
     async def stop():
         sending = asyncio.create_task(world.send(node, name))
@@ -232,30 +233,30 @@
         await asyncio.sleep(0.3)
         world.fleet.signal_node(stopped)
         world.exit_code = await stopping
-        told = await sending
-        # It ran, so nothing else may be said of it.
-        assert told is None or told.outcome == 'unknown'
+        result = await sending
+        # It started to run, so no other outcome may be reported.
+        assert result is None or result.outcome == 'unknown'
 
     world.run(stop())
 
 
-@then(parsers.parse('the log of {node} names "{name}" as cut off'))
+@then(parsers.parse('the log of {node} names "{name}" as aborted'))
 def named_in_log(world, node, name):
-    """Look into the log of the node's process."""
+    """Check the log of the node process."""
     log = world.fleet.folder / f'{node}.node.log'
     lines = log.read_text(encoding='utf-8').splitlines()
     assert any('aborts' in line and name in line for line in lines)
 
 
-@when(parsers.parse('{node} is stopped and gone'))
+@when(parsers.parse('{node} is stopped and has exited'))
 def stopped_and_gone(world, node):
-    """Stop a node in order and wait until it has ended."""
+    """Shut a node down gracefully and wait until it has exited."""
     world.exit_code = world.run(world.fleet.stop_node(node))
 
 
 @when(parsers.parse('{node} is replaced'))
 def replaced(world, node):
-    """Start a new life of a VM, which remembers nothing."""
+    """Restart a VM, which has lost all its state."""
 
     async def replace():
         await world.fleet.start_vm(node)
@@ -266,59 +267,59 @@
 
 @then(parsers.parse('both answers to "{name}" are the same'))
 def same_answers(world, name):
-    """Compare what the two attempts were told."""
-    first, second = world.told_by_id[name]
+    """Compare the responses to the two attempts."""
+    first, second = world.results_by_id[name]
     assert first.outcome == 'answered'
     assert (second.outcome, second.body) == (first.outcome, first.body)
 
 
 @then(parsers.parse('purchase "{name}" ran once'))
 def ran_once(world, name):
-    """Count what the targets ran."""
+    """Check how many times targets ran the purchase."""
     assert world.runs(name) == 1
 
 
 @then(parsers.parse('purchase "{name}" ran at most once'))
 def ran_at_most_once(world, name):
-    """Count what the targets ran."""
+    """Check how many times targets ran the purchase."""
     assert world.runs(name) <= 1
 
 
-@then(parsers.parse('"{name}" was told unknown with when to come back'))
-def told_unknown(world, name):
-    """Look at what the last attempt was told."""
-    told = world.told_by_id[name][-1]
-    assert told.outcome == 'unknown'
-    assert told.retry_after > 0
+@then(parsers.parse('"{name}" ended as unknown with Retry-After'))
+def ended_unknown(world, name):
+    """Check the response to the last attempt."""
+    result = world.results_by_id[name][-1]
+    assert result.outcome == 'unknown'
+    assert result.retry_after > 0
 
 
 @then(parsers.parse('"{name}" was answered'))
 def was_answered(world, name):
-    """Look at what the last attempt was told."""
-    assert world.told_by_id[name][-1].outcome == 'answered'
+    """Check the response to the last attempt."""
+    assert world.results_by_id[name][-1].outcome == 'answered'
 
 
-@then('a lookup through the library is answered while payments-1 leaves')
+@then('a lookup through the library is answered while payments-1 drains')
 def answered_meanwhile(world):
-    """Look at the lookup that was made during the stop."""
+    """Check the lookup that was made during the shutdown."""
     assert world.lookup.is_ok()
 
 
 @then('a lookup through the library is answered')
 def lookup_answered(world):
-    """Make a lookup."""
+    """Send a lookup through the library."""
     assert world.run(world.client.call('payments', 'GET', '/tokens')).is_ok()
 
 
 @then(parsers.parse('the node of {node} ended with exit code {code:d}'))
 def exit_code(world, node, code):
-    """Look at how the node's process ended."""
+    """Check the exit code of the node process."""
     assert world.exit_code == code
 
 
 @when(parsers.parse('the platform lists {node} as leaving'))
-def listed_leaving(world, node):
-    """Publish the list with one VM leaving."""
+def listed_as_leaving(world, node):
+    """Publish a VM list that marks one VM as leaving."""
     world.fleet.by_name[node].state = 'leaving'
     world.run(world.fleet.publish_vms())
 
@@ -327,14 +328,14 @@
     parsers.parse('{node} refuses new calls as not run within {seconds:d} s'),
 )
 def refuses_soon(world, node, seconds):
-    """Wait as long as is allowed, then send a call."""
+    """Wait for the time allowed, then send a call."""
 
     async def ask():
         await asyncio.sleep(seconds)
         return await world.send(node, 'leaving', method='GET')
 
-    told = world.run(ask())
-    assert told is None or told.outcome == 'not_run'
+    result = world.run(ask())
+    assert result is None or result.outcome == 'not_run'
 
 
 @when('the next generation of the rules is published')
@@ -345,9 +346,9 @@
     world.run(world.fleet.publish('rules', document))
 
 
-@when('the platform goes back to an older generation and restarts')
-def goes_back(world):
-    """Publish yesterday's rules and count revisions from the start."""
+@when('the platform reverts to an older generation and restarts')
+def platform_reverts(world):
+    """Publish the first generation again and reset the revision count."""
     world.run(world.fleet.publish('rules', world.document(1)))
     world.run(world.fleet.order({'restart': True}))
 
@@ -377,7 +378,7 @@
     ),
 )
 def in_force(world, seconds):
-    """Ask all nodes until they agree or the time is over."""
+    """Poll all nodes until they agree or the time is up."""
 
     async def ask():
         for _ in range(seconds * 5):
@@ -396,18 +397,19 @@
     ),
 )
 def still_in_force(world, seconds):
-    """Wait, then ask all nodes."""
+    """Wait, then check all nodes."""
     world.run(asyncio.sleep(seconds))
     assert _generations(world.run(_rules_of(world))) == {world.generation}
 
 
 @then(
     parsers.parse(
-        'every node has the same one of the two in force within {seconds:d} s',
+        'every node has the same one of the two documents in force '
+        'within {seconds:d} s',
     ),
 )
 def one_winner(world, seconds):
-    """Ask all nodes until they agree on one document."""
+    """Poll all nodes until they agree on one document."""
 
     async def ask():
         for _ in range(seconds * 5):
@@ -430,10 +432,10 @@
     ),
 )
 def crashes(world, what, times):
-    """Send the same request again and again through all nodes."""
+    """Send attempts of one request through all nodes in turn."""
     method = 'POST' if what == 'purchase' else 'GET'
 
-    async def insist():
+    async def send_until_done():
         for number in range(times):
             await world.send(
                 _NODES[number % len(_NODES)],
@@ -446,21 +448,21 @@
             await asyncio.sleep(0.3)
             await world.restart_crashed()
 
-    world.run(insist())
+    world.run(send_until_done())
 
 
-@then(parsers.parse('at most {most:d} targets went down'))
-def few_crashes(world, most):
+@then(parsers.parse('at most {maximum:d} targets crashed'))
+def few_crashes(world, maximum):
     """Count the targets that were restarted."""
-    assert 1 <= world.crashes <= most
+    assert 1 <= world.crashes <= maximum
 
 
 @when('a lookup is in flight while another crashes its target')
-def innocent_in_flight(world):
-    """Crash a target under an innocent lookup."""
+def unrelated_in_flight(world):
+    """Crash a target while an unrelated lookup is in flight on it."""
 
     async def together():
-        innocent = asyncio.create_task(
+        unrelated = asyncio.create_task(
             world.send(
                 'payments-1',
                 'innocent',
@@ -476,29 +478,29 @@
             path='/tokens/guilty',
             poison=True,
         )
-        await innocent
+        await unrelated
         await asyncio.sleep(0.3)
         await world.restart_crashed()
 
     world.run(together())
 
 
-@then('the innocent lookup is answered when it is sent again')
-def innocent_answered(world):
-    """Send the innocent lookup again, a few times if asked to come back."""
+@then('the unrelated lookup is answered when it is retried')
+def unrelated_answered(world):
+    """Retry the unrelated lookup up to four times."""
 
-    async def insist():
+    async def send_until_done():
         for number in range(2, 6):
-            told = await world.send(
+            result = await world.send(
                 'payments-1',
                 'innocent',
                 attempt=number,
                 method='GET',
                 path='/tokens/innocent',
             )
-            if told is not None and told.outcome == 'answered':
+            if result is not None and result.outcome == 'answered':
                 return True
             await asyncio.sleep(0.3)
         return False
 
-    assert world.run(insist())
+    assert world.run(send_until_done())
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -1,4 +1,4 @@
-"""One small deployment that all scenarios share, and its callers."""
+"""The deployment that all scenarios share, and its callers."""
 
 import asyncio
 import time
@@ -23,28 +23,30 @@
 _FIELD_BY_OUTCOME = 'outcome'
 
 
-class Told:
-    """What one attempt was told."""
+class AttemptResult:
+    """The response to one attempt.
+
+    ``outcome`` is that of the answer header, or empty without the header.
+    """
 
     def __init__(self, status: int, headers: Any, body: bytes) -> None:
-        """Read the control part, if there is one."""
         self.status = status
         self.headers = headers
         self.body = body
-        said = headers.get('lovageshunt-answer')
-        self.outcome = orjson.loads(said)['outcome'] if said else ''
+        answer = headers.get('lovageshunt-answer')
+        self.outcome = orjson.loads(answer)['outcome'] if answer else ''
 
     @property
     def retry_after(self) -> int:
-        """Return when to come back, in seconds; 0 if it was not told."""
+        """Return the Retry-After delay in seconds; 0 without the header."""
         return int(self.headers.get('retry-after', 0))
 
 
 class World:
-    """The deployment, its callers, and what they were told by request."""
+    """The deployment, its callers and their results by request id."""
 
     def __init__(self, folder: Path) -> None:
-        """Plan the deployment; ``start`` brings it up."""
+        """Plan the deployment; ``start`` starts its processes."""
         self.loop = asyncio.new_event_loop()
         self.fleet = Fleet(
             folder,
@@ -61,8 +63,8 @@
             ],
         )
         self.generation = 1
-        self.began_by_id: dict[str, float] = {}
-        self.told_by_id: dict[str, list[Told]] = {}
+        self.first_sent_at_by_id: dict[str, float] = {}
+        self.results_by_id: dict[str, list[AttemptResult]] = {}
         self.session: aiohttp.ClientSession | None = None
         self.client: Client | None = None
         self.crashes = 0
@@ -70,11 +72,11 @@
         self.digests: list[str] = []
 
     def run(self, work: Any) -> Any:
-        """Run a coroutine to its end on the world's loop."""
+        """Run a coroutine to completion on the shared event loop."""
         return self.loop.run_until_complete(work)
 
     async def start(self) -> None:
-        """Bring up the deployment and two kinds of callers."""
+        """Start the deployment, an HTTP caller and one with the library."""
         self.session = aiohttp.ClientSession()
         try:
             await self.fleet.start(self.document(1))
@@ -93,13 +95,13 @@
         await self.client.start()
 
     async def stop(self) -> None:
-        """Stop everything that runs."""
+        """Stop the callers and the deployment."""
         await self.client.close()
         await self.session.close()
         await self.fleet.stop()
 
     async def restore(self) -> None:
-        """Bring back what the scenario before has stopped or changed."""
+        """Undo what the previous scenario stopped or changed."""
         await self.fleet.order({'outage': False, 'stale': False})
         for vm in self.fleet.vms:
             is_listed = vm.state == 'live'
@@ -130,9 +132,12 @@
         path: str = '/tokens',
         body: bytes = b'{}',
         poison: bool = False,
-        patience: float = 6,
-    ) -> Told | None:
-        """Send one attempt as a caller without the library does."""
+        timeout_seconds: float = 6,
+    ) -> AttemptResult | None:
+        """Send one attempt as a caller without the library.
+
+        Return ``None`` if there is no response within ``timeout_seconds``.
+        """
         headers = {'idempotency-key': request_id}
         if attempt is not None:
             headers['lovageshunt-attempt'] = str(attempt)
@@ -146,36 +151,38 @@
                 url,
                 headers=headers,
                 data=body,
-                timeout=aiohttp.ClientTimeout(total=patience),
+                timeout=aiohttp.ClientTimeout(total=timeout_seconds),
             ) as response:
-                told = Told(
+                result = AttemptResult(
                     response.status,
                     response.headers,
                     await response.read(),
                 )
         except (TimeoutError, aiohttp.ClientError):
             return None
-        self.told_by_id.setdefault(request_id, []).append(told)
-        return told
+        self.results_by_id.setdefault(request_id, []).append(result)
+        return result
 
     def age_ms(self, request_id: str) -> int:
-        """Return the time since a request was first sent."""
-        began_at = self.began_by_id.setdefault(request_id, time.monotonic())
-        return int(1000 * (time.monotonic() - began_at))
+        """Return the milliseconds since the request was first sent."""
+        first_sent_at = self.first_sent_at_by_id.setdefault(
+            request_id, time.monotonic()
+        )
+        return int(1000 * (time.monotonic() - first_sent_at))
 
     def runs(self, request_id: str) -> int:
-        """Return how often a request ran on any target of payments."""
-        return self.lines('payments', 'ran', request_id)
+        """Return how many times a request ran on the targets of payments."""
+        return self.count_events('payments', 'ran', request_id)
 
-    def lines(self, service: str, what: str, request_id: str) -> int:
-        """Return how often targets witnessed something of a request."""
+    def count_events(self, service: str, kind: str, request_id: str) -> int:
+        """Return how many events of a kind targets recorded for a request."""
         witnessed = self.fleet.witnessed(service)
         return sum(
-            line[0] == what and line[1] == request_id for line in witnessed
+            line[0] == kind and line[1] == request_id for line in witnessed
         )
 
     async def restart_crashed(self) -> None:
-        """Start again the targets that went down, and count them."""
+        """Restart the targets that crashed, and count them."""
         for vm in self.fleet.vms:
             if vm.target_process.returncode is None:
                 continue
