--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -45,8 +45,14 @@
     INQUIRY_PATH,
     PeerLink,
 )
-from lovageshunt.node.serving._border import Admissible, forwarded_context
-from lovageshunt.node.serving._target import forwardable, passing_headers
+from lovageshunt.node.serving._http_boundary import (
+    ParsedCall,
+    forwarded_context,
+)
+from lovageshunt.node.serving._target import (
+    end_to_end_headers,
+    end_to_end_items,
+)
 from lovageshunt.retries import SuspectReport
 
 _INQUIRY_TIMEOUT_SECONDS: Final = 1.0
@@ -148,7 +154,7 @@
     async def redirect(
         self,
         inbound: Inbound,
-        admissible: Admissible,
+        parsed: ParsedCall,
         action: Redirect,
         *,
         seconds_left: float,
@@ -164,14 +170,14 @@
         if address is None:
             return _unknown_ending()
         context = forwarded_context(
-            admissible.context,
+            parsed.context,
             home=action.stamp,
             seconds_left=seconds_left,
             elapsed_seconds=held_seconds,
-            trace_parent=admissible.context.trace_parent,
+            trace_parent=parsed.context.trace_parent,
         )
         context.attempt = action.attempt
-        headers = forwardable(inbound.headers)
+        headers = end_to_end_headers(inbound.headers)
         headers[CONTEXT_HEADER] = encode_context(context, self._key)
         exchange = await self._transport.send(
             address=address,
@@ -208,7 +214,7 @@
         reason=info.reason,
         answer=StoredAnswer(
             status=response.status,
-            headers=passing_headers(response.headers),
+            headers=end_to_end_items(response.headers),
             body=response.body,
         ),
     )
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -39,8 +39,8 @@
 from lovageshunt.idempotency import Ending
 from lovageshunt.node.control._control import Control
 from lovageshunt.node.egress._served_calls import ServedCall, ServedCalls
-from lovageshunt.node.serving._border import Page, page_of
-from lovageshunt.node.serving._target import forwardable
+from lovageshunt.node.serving._http_boundary import HttpResponse, response_of
+from lovageshunt.node.serving._target import end_to_end_headers
 
 #: Maximum age of the snapshot of members and rules.
 _VIEW_INTERVAL_SECONDS: Final = 0.2
@@ -182,7 +182,7 @@
             inbound.method,
             path,
             body=inbound.body,
-            headers=forwardable(inbound.headers),
+            headers=end_to_end_headers(inbound.headers),
         )
         reply = await _await_downstream(served, pending_call)
         if reply.is_error() and _outcome_of(reply.error) is Outcome.UNKNOWN:
@@ -231,7 +231,7 @@
         reason = RefusalReason(reply.error.reason)
         ending = Ending(outcome=_outcome_of(reply.error), reason=reason)
         wait_ms = reply.error.retry_after_ms
-        page = page_of(served.scope.context, ending, wait_ms)
+        page = response_of(served.scope.context, ending, wait_ms)
     # The id is that of the served call: a target that copies every header
     # into its own answer then makes no statement about another call.
     info = AnswerInfo(
@@ -261,12 +261,12 @@
     await respond(send, status=refusal.status, headers=[_JSON], body=body)
 
 
-def _page_of_answer(answer: Answer) -> Page:
-    return Page(
+def _page_of_answer(answer: Answer) -> HttpResponse:
+    return HttpResponse(
         status=answer.status,
         headers=[
             (name.lower().encode('latin-1'), text.encode('latin-1'))
-            for name, text in forwardable(answer.headers).items()
+            for name, text in end_to_end_headers(answer.headers).items()
         ],
         body=answer.body,
     )
--- a/src/lovageshunt/node/serving/_call.py
+++ b/src/lovageshunt/node/serving/_call.py
@@ -1,21 +1,25 @@
-"""One call while it is in progress at this node."""
+"""State of one call while it is in progress at this node."""
 
 from asyncio import Future, Task, get_running_loop
 
 from lovageshunt.client import Inbound
 from lovageshunt.node.gate._messages import Reply
-from lovageshunt.node.serving._border import Admissible
+from lovageshunt.node.serving._http_boundary import ParsedCall
 from lovageshunt.node.serving._target import TargetReply
 from lovageshunt.observability import ActiveSpan
 
 
 class CallInProgress:
-    """One arrival: what came, its deadline, and who waits for the reply."""
+    """A call from its arrival to its reply.
+
+    ``arrived_at``, ``deadline`` and ``forwarded_at`` are monotonic times in
+    seconds; ``forwarded_at`` is ``None`` until the call is sent to the target.
+    """
 
     __slots__ = (
         'ticket',
         'inbound',
-        'admissible',
+        'parsed',
         'span',
         'arrived_at',
         'deadline',
@@ -23,8 +27,8 @@
         'reply',
         'replied',
         'target_reply',
-        'forwarding',
-        'has_begun',
+        'forward_task',
+        'has_started',
         'is_cancelled',
     )
 
@@ -33,25 +37,24 @@
         *,
         ticket: str,
         inbound: Inbound,
-        admissible: Admissible,
+        parsed: ParsedCall,
         span: ActiveSpan,
         arrived_at: float,
         deadline: float,
     ) -> None:
-        """Begin with nobody having replied."""
         self.ticket = ticket
         self.inbound = inbound
-        self.admissible = admissible
+        self.parsed = parsed
         self.span = span
         self.arrived_at = arrived_at
         self.deadline = deadline
         self.forwarded_at: float | None = None
         self.reply: Reply | None = None
-        #: Set with the reply; the reply stays if a waiter cancels this.
+        #: Completed when ``reply`` is set; a waiter may cancel it.
         self.replied: Future[None] = get_running_loop().create_future()
         self.target_reply: TargetReply | None = None
-        self.forwarding: Task[None] | None = None
-        #: A task that is cancelled before its first turn runs none of its
-        #: code, so one that has not begun is only told so.
-        self.has_begun = False
+        self.forward_task: Task[None] | None = None
+        #: A task that is cancelled before it starts runs none of its code,
+        #: so for one that has not started only ``is_cancelled`` is set.
+        self.has_started = False
         self.is_cancelled = False
