--- a/src/lovageshunt/errors.py
+++ b/src/lovageshunt/errors.py
@@ -107,7 +107,7 @@
         )
 
 
-class StalePictureError(LovageshuntError):
+class StaleInputsError(LovageshuntError):
     """Raised when a decision was made on inputs older than a pause."""
 
     def __init__(self, read_in: int, epoch: int) -> None:
--- a/src/lovageshunt/membership/_epochs.py
+++ b/src/lovageshunt/membership/_epochs.py
@@ -2,7 +2,7 @@
 
 from typing import Generic, TypeVar
 
-from lovageshunt.errors import StalePictureError
+from lovageshunt.errors import StaleInputsError
 
 _InputsT = TypeVar('_InputsT')
 
@@ -58,8 +58,8 @@
     def require(self, epoch: int, now: float) -> None:
         """Check immediately before dispatch that no pause has occurred.
 
-        Raises ``StalePictureError`` if the inputs were read before a pause.
+        Raises ``StaleInputsError`` if the inputs were read before a pause.
         """
         self.observe(now)
         if epoch != self.epoch:
-            raise StalePictureError(epoch, self.epoch)
+            raise StaleInputsError(epoch, self.epoch)
--- a/tests/membership/test_epochs.py
+++ b/tests/membership/test_epochs.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lovageshunt.errors import StalePictureError
+from lovageshunt.errors import StaleInputsError
 from lovageshunt.membership import EpochClock
 
 
@@ -30,7 +30,7 @@
         """A decision made before a pause is rejected at dispatch."""
         clock = new_clock()
         stamped = clock.stamp('a target')
-        with pytest.raises(StalePictureError, match='decide anew'):
+        with pytest.raises(StaleInputsError, match='decide anew'):
             clock.require(stamped.epoch, 5)
 
     def test_dispatch_in_the_same_epoch(self) -> None:
