--- a/bench/charts.py
+++ b/bench/charts.py
@@ -15,7 +15,7 @@
 from time import perf_counter_ns
 from typing import Any, Final
 
-from lovageshunt.charts import Chart, Life, load_chart
+from lovageshunt.charts import Chart, ChartInstance, load_chart
 
 _ROUNDS: Final = 5
 _LOOPS: Final = 2_000
@@ -35,7 +35,7 @@
 
 def lookup_life(chart: Chart) -> Step:
     """Return the step of a life that looks its chart up."""
-    return Life(chart).step
+    return ChartInstance(chart).step
 
 
 def own_machine_life(chart: Chart) -> Step:
--- a/src/lovageshunt/charts/__init__.py
+++ b/src/lovageshunt/charts/__init__.py
@@ -1,5 +1,10 @@
 """State charts in files, and the adapter that runs them."""
 
-from lovageshunt.charts._chart import Chart, Life, load_chart, parse_chart
+from lovageshunt.charts._chart import (
+    Chart,
+    ChartInstance,
+    load_chart,
+    parse_chart,
+)
 
-__all__ = ['Chart', 'Life', 'load_chart', 'parse_chart']
+__all__ = ['Chart', 'ChartInstance', 'load_chart', 'parse_chart']
--- a/src/lovageshunt/charts/_chart.py
+++ b/src/lovageshunt/charts/_chart.py
@@ -59,7 +59,7 @@
         return target
 
 
-class Life:
+class ChartInstance:
     """One thing's way through a chart."""
 
     __slots__ = ('chart', 'state')
--- a/src/lovageshunt/idempotency/_entry.py
+++ b/src/lovageshunt/idempotency/_entry.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from lovageshunt._record import Record
-from lovageshunt.charts import Life, load_chart
+from lovageshunt.charts import ChartInstance, load_chart
 from lovageshunt.idempotency._records import (
     Claim,
     Ending,
@@ -174,7 +174,7 @@
 
     def __init__(self, *, key: str, began_at: float, expires_at: float) -> None:
         self.key = key
-        self.life = Life(_CHART)
+        self.life = ChartInstance(_CHART)
         self.began_at = began_at
         self.expires_at = expires_at
         self.home: Identity | None = None
--- a/src/lovageshunt/membership/_tracked_vm.py
+++ b/src/lovageshunt/membership/_tracked_vm.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from lovageshunt.charts import Life, load_chart
+from lovageshunt.charts import ChartInstance, load_chart
 from lovageshunt.membership._member import Member
 from lovageshunt.membership._messages import Announcement
 from lovageshunt.membership._vms import ListedVm, VmState
@@ -36,7 +36,7 @@
 
     def __init__(self, member: Member, listed: VmState | None) -> None:
         self.member = member
-        self.lifecycle = Life(load_chart('target'))
+        self.lifecycle = ChartInstance(load_chart('target'))
         self.listed = listed
         self.ignores_listed_leave = False
         self.candidate_incarnation = ''
--- a/src/lovageshunt/node/control/_life.py
+++ b/src/lovageshunt/node/control/_life.py
@@ -1,6 +1,6 @@
 """The node's life, as its state chart has it."""
 
-from lovageshunt.charts import Life, load_chart
+from lovageshunt.charts import ChartInstance, load_chart
 
 
 class NodeLife:
@@ -10,7 +10,7 @@
 
     def __init__(self) -> None:
         """Begin in the chart's first state."""
-        self._life = Life(load_chart('node'))
+        self._life = ChartInstance(load_chart('node'))
 
     @property
     def state(self) -> str:
--- a/tests/charts/test_chart.py
+++ b/tests/charts/test_chart.py
@@ -5,7 +5,7 @@
 import orjson
 import pytest
 
-from lovageshunt.charts import Life, load_chart, parse_chart
+from lovageshunt.charts import ChartInstance, load_chart, parse_chart
 from lovageshunt.errors import (
     ChartNotFoundError,
     MalformedChartError,
@@ -92,13 +92,13 @@
 
     def test_follows_the_chart(self) -> None:
         """An event that the state takes leads to the next state."""
-        life = Life(load_chart('node'))
+        life = ChartInstance(load_chart('node'))
         assert life.step('serve')
         assert life.state == 'serving'
 
     def test_event_not_taken(self) -> None:
         """An event that the state does not take changes nothing."""
-        life = Life(load_chart('node'))
+        life = ChartInstance(load_chart('node'))
         life.step('leave')
         assert not life.step('serve')
         assert life.state == 'leaving'
@@ -106,4 +106,4 @@
     def test_unknown_event(self) -> None:
         """An event that no state takes is an error that lists the events."""
         with pytest.raises(UnknownChartEventError, match='settle'):
-            Life(load_chart('node')).step('explode')
+            ChartInstance(load_chart('node')).step('explode')
