--- a/bench/charts.py
+++ b/bench/charts.py
@@ -104,7 +104,7 @@
 def _listed(chart: Chart) -> list[list[str]]:
     return [
         [event, source, target]
-        for (source, event), target in chart.target_by_step.items()
+        for (source, event), target in chart.next_state_by_step.items()
     ]
 
 
--- a/src/lovageshunt/charts/_chart.py
+++ b/src/lovageshunt/charts/_chart.py
@@ -22,10 +22,10 @@
 class Chart:
     """A checked state chart: which event leads from which state to which.
 
-    ``target_by_step`` maps a pair of state and event to the next state.
+    ``next_state_by_step`` maps a pair of state and event to the next state.
     """
 
-    __slots__ = ('name', 'initial', 'states', 'events', 'target_by_step')
+    __slots__ = ('name', 'initial', 'states', 'events', 'next_state_by_step')
 
     def __init__(
         self,
@@ -34,14 +34,14 @@
         initial: str,
         states: Collection[str],
         events: Collection[str],
-        target_by_step: Mapping[tuple[str, str], str],
+        next_state_by_step: Mapping[tuple[str, str], str],
     ) -> None:
         """Keep the table; ``parse_chart`` checks it."""
         self.name = name
         self.initial = initial
         self.states = frozenset(states)
         self.events = frozenset(events)
-        self.target_by_step = dict(target_by_step)
+        self.next_state_by_step = dict(next_state_by_step)
 
     def start(self) -> str:
         """Return the state in which every life begins."""
@@ -53,7 +53,7 @@
         Returns ``None`` when the state does not take the event. Raises
         ``UnknownChartEventError`` when no state of the chart takes it.
         """
-        target = self.target_by_step.get((state, event))
+        target = self.next_state_by_step.get((state, event))
         if target is None and event not in self.events:
             raise UnknownChartEventError(self.name, event, self.events)
         return target
@@ -110,7 +110,7 @@
         initial=fields['initial'],
         states=fields['states'],
         events=fields['events'],
-        target_by_step=_steps_of(name, fields['transitions']),
+        next_state_by_step=_steps_of(name, fields['transitions']),
     )
     faults = _faults_of(chart, frozenset(fields['final']))
     if faults:
@@ -140,7 +140,7 @@
     name: str,
     transitions: list[dict[str, Any]],
 ) -> dict[tuple[str, str], str]:
-    target_by_step: dict[tuple[str, str], str] = {}
+    next_state_by_step: dict[tuple[str, str], str] = {}
     for transition in transitions:
         if transition.keys() != _TRANSITION_KEYS:
             raise MalformedChartError(
@@ -150,13 +150,13 @@
             )
         for source in transition['from']:
             step = (source, transition['event'])
-            if step in target_by_step:
+            if step in next_state_by_step:
                 raise MalformedChartError(
                     name,
                     f'the step {step} is told twice; keep one transition',
                 )
-            target_by_step[step] = transition['to']
-    return target_by_step
+            next_state_by_step[step] = transition['to']
+    return next_state_by_step
 
 
 def _faults_of(chart: Chart, final: frozenset[str]) -> list[str]:
@@ -169,8 +169,8 @@
 
 
 def _unknown_states(chart: Chart, final: frozenset[str]) -> list[str]:
-    sources = {state for state, _ in chart.target_by_step}
-    named = sources.union(chart.target_by_step.values(), final)
+    sources = {state for state, _ in chart.next_state_by_step}
+    named = sources.union(chart.next_state_by_step.values(), final)
     return [
         f'the state {state!r} is unknown, list it in states or mend its name'
         for state in sorted({chart.initial, *named} - chart.states)
@@ -178,7 +178,7 @@
 
 
 def _wrong_events(chart: Chart) -> list[str]:
-    taken = {event for _, event in chart.target_by_step}
+    taken = {event for _, event in chart.next_state_by_step}
     unknown = [
         f'the event {event!r} is unknown, list it in events or mend its name'
         for event in sorted(taken - chart.events)
@@ -196,7 +196,7 @@
     while grown:
         found = {
             target
-            for (source, _), target in chart.target_by_step.items()
+            for (source, _), target in chart.next_state_by_step.items()
             if source in reached
         }
         grown = not found <= reached
@@ -209,7 +209,7 @@
 
 
 def _dead_ends(chart: Chart, final: frozenset[str]) -> list[str]:
-    sources = {state for state, _ in chart.target_by_step}
+    sources = {state for state, _ in chart.next_state_by_step}
     return [
         f'no event leaves the state {state!r}, add a transition or list it '
         'as final'
