--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -14,7 +14,7 @@
 from lovageshunt.admission import Admission, AdmissionSettings, CallerThresholds
 from lovageshunt.calls import (
     CallContext,
-    HomeStamp,
+    HomeNode,
     LoadReport,
     Outcome,
     RefusalReason,
@@ -46,9 +46,9 @@
 _MEMBERS = 31
 _MICROSECONDS = 1_000_000
 _SERVICE_SECONDS = 0.02
-_HOME = HomeStamp(node='n1', incarnation='a')
+_HOME = HomeNode(node='n1', incarnation='a')
 _PEERS = tuple(
-    HomeStamp(node=f'n{number}', incarnation='a')
+    HomeNode(node=f'n{number}', incarnation='a')
     for number in range(2, _MEMBERS + 1)
 )
 
--- a/bench/run_once/__main__.py
+++ b/bench/run_once/__main__.py
@@ -18,7 +18,7 @@
 from bench.run_once._people import Crowd
 from bench.run_once._timed import TimedFleet
 from bench.run_once._ways import FixedHome, StampOnly, Unprotected
-from lovageshunt.calls import HomeStamp, Outcome
+from lovageshunt.calls import HomeNode, Outcome
 from lovageshunt.idempotency import (
     AttemptReceived,
     Claim,
@@ -41,7 +41,7 @@
 
 
 def _factory(way: _Way) -> NodeFactory:
-    def make(home: HomeStamp, started_at: float) -> RunOnce:
+    def make(home: HomeNode, started_at: float) -> RunOnce:
         return way(
             node=home.node,
             incarnation=home.incarnation,
@@ -112,7 +112,7 @@
 def _inquiry_cost(size: int) -> str:
     """Return messages, bytes and processor time of one inquiry."""
     homes = tuple(
-        HomeStamp(node=f'n{at:04d}', incarnation=f'{at:016x}')
+        HomeNode(node=f'n{at:04d}', incarnation=f'{at:016x}')
         for at in range(size)
     )
     asker, *peers = [_factory(RunOnce)(home, 0) for home in homes]
--- a/bench/run_once/_callers.py
+++ b/bench/run_once/_callers.py
@@ -6,10 +6,10 @@
 from bench.run_once._fleet import Fleet
 from bench.run_once._messages import RequestMessage
 from bench.run_once._network import age_ms_of
-from lovageshunt.calls import HomeStamp, Outcome
+from lovageshunt.calls import HomeNode, Outcome
 from lovageshunt.idempotency import next_attempt_number
 
-Picker = Callable[[Sequence[HomeStamp]], HomeStamp]
+Picker = Callable[[Sequence[HomeNode]], HomeNode]
 
 
 class CallerKind(StrEnum):
@@ -41,11 +41,11 @@
         self.last_attempt = 0
         self.told: dict[int, Outcome] = {}
         self._sends = 0
-        self._stamp: HomeStamp | None = None
+        self._stamp: HomeNode | None = None
         self._hop_told: dict[int, Outcome | None] = {}
 
     def attempt(
-        self, fleet: Fleet, homes: Sequence[HomeStamp], pick: Picker
+        self, fleet: Fleet, homes: Sequence[HomeNode], pick: Picker
     ) -> None:
         """Send the next attempt, as this kind of caller would."""
         was_not_run = self.told.get(self.last_attempt) is Outcome.NOT_RUN
@@ -73,7 +73,7 @@
         self._send(fleet, number, None, home)
 
     def hop(
-        self, fleet: Fleet, homes: Sequence[HomeStamp], pick: Picker
+        self, fleet: Fleet, homes: Sequence[HomeNode], pick: Picker
     ) -> None:
         """Let the stamping service send the first attempt, or send again.
 
@@ -129,8 +129,8 @@
         self,
         fleet: Fleet,
         attempt: int,
-        stamp: HomeStamp | None,
-        home: HomeStamp,
+        stamp: HomeNode | None,
+        home: HomeNode,
     ) -> None:
         self._sends += 1
         sent_for = self.last_attempt
--- a/bench/run_once/_fleet.py
+++ b/bench/run_once/_fleet.py
@@ -3,7 +3,7 @@
 from bench.run_once._machine import Machine, NodeFactory, make_node
 from bench.run_once._messages import AnswerMessage
 from bench.run_once._network import Network
-from lovageshunt.calls import HomeStamp, Outcome, RefusalReason
+from lovageshunt.calls import HomeNode, Outcome, RefusalReason
 from lovageshunt.idempotency import (
     Completed,
     DispatchDue,
@@ -30,14 +30,14 @@
     def __init__(self, factory: NodeFactory = make_node) -> None:
         """Begin empty."""
         super().__init__()
-        self.published: list[HomeStamp] = []
+        self.published: list[HomeNode] = []
         self._factory = factory
         self._started = 0
 
     def start(self, name: str, *, is_old: bool = False) -> Machine:
         """Put a fresh node at a name, in place of any earlier one."""
         self._started += 1
-        home = HomeStamp(node=name, incarnation=f'{name}{self._started}')
+        home = HomeNode(node=name, incarnation=f'{name}{self._started}')
         born_at = self.now - _OLD_SECONDS if is_old else self.now
         machine = Machine(home, self._factory(home, born_at))
         self.by_name[name] = machine
--- a/bench/run_once/_machine.py
+++ b/bench/run_once/_machine.py
@@ -3,16 +3,16 @@
 from collections.abc import Callable
 
 from bench.run_once._messages import Message
-from lovageshunt.calls import HomeStamp
+from lovageshunt.calls import HomeNode
 from lovageshunt.idempotency import DepartedNode, RunOnce, RunOnceSettings
 
 #: A node remembers who departed for as long as a request may be resent.
 _MEMORY_SECONDS = 930
 
-NodeFactory = Callable[[HomeStamp, float], RunOnce]
+NodeFactory = Callable[[HomeNode, float], RunOnce]
 
 
-def make_node(home: HomeStamp, started_at: float) -> RunOnce:
+def make_node(home: HomeNode, started_at: float) -> RunOnce:
     """Return a node with a table small enough to fill."""
     return RunOnce(
         node=home.node,
@@ -43,11 +43,11 @@
         'side',
     )
 
-    def __init__(self, home: HomeStamp, node: RunOnce) -> None:
+    def __init__(self, home: HomeNode, node: RunOnce) -> None:
         """Begin with nothing listed and nothing running."""
         self.home = home
         self.node = node
-        self.listed: list[HomeStamp] = []
+        self.listed: list[HomeNode] = []
         self.gone: list[DepartedNode] = []
         self.queue: list[str] = []
         self.running: dict[str, str] = {}
@@ -55,7 +55,7 @@
         self.frozen_at: float | None = None
         self.side = 0
 
-    def read(self, published: list[HomeStamp], now: float) -> None:
+    def read(self, published: list[HomeNode], now: float) -> None:
         """Read the published list; who is missing has departed.
 
         A name that is listed with another incarnation proves the end of
--- a/bench/run_once/_messages.py
+++ b/bench/run_once/_messages.py
@@ -1,7 +1,7 @@
 """What is on its way in the fleet."""
 
 from lovageshunt._record import Record
-from lovageshunt.calls import HomeStamp, Outcome
+from lovageshunt.calls import HomeNode, Outcome
 from lovageshunt.idempotency import Inquire, InquiryAnswer
 
 
@@ -25,7 +25,7 @@
         call_id: str,
         key: str,
         attempt: int,
-        stamp: HomeStamp | None,
+        stamp: HomeNode | None,
         age_ms: int,
         to: str,
         sent_at: float,
@@ -47,7 +47,7 @@
 
     __slots__ = ('asker', 'question')
 
-    def __init__(self, *, asker: HomeStamp, question: Inquire) -> None:
+    def __init__(self, *, asker: HomeNode, question: Inquire) -> None:
         """Take the asker and its question."""
         self.asker = asker
         self.question = question
@@ -61,7 +61,7 @@
     def __init__(
         self,
         *,
-        asker: HomeStamp,
+        asker: HomeNode,
         question: Inquire,
         answer: InquiryAnswer | None,
     ) -> None:
--- a/bench/run_once/_network.py
+++ b/bench/run_once/_network.py
@@ -13,7 +13,7 @@
     RequestMessage,
 )
 from lovageshunt import idempotency as run_once
-from lovageshunt.calls import HomeStamp, Outcome
+from lovageshunt.calls import HomeNode, Outcome
 
 _DEADLINE_SECONDS = 5
 _TRANSIT_SECONDS = 5
@@ -56,7 +56,7 @@
             self.question = message.question
         self.tell(machine, _event_of(message, machine, self.now))
 
-    def reach(self, machine: Machine, home: HomeStamp) -> Machine | None:
+    def reach(self, machine: Machine, home: HomeNode) -> Machine | None:
         """Return a peer that is there, with no cut between."""
         peer = self.by_name.get(home.node)
         if peer is None or peer.home != home or peer.side != machine.side:
--- a/bench/run_once/_ways.py
+++ b/bench/run_once/_ways.py
@@ -5,7 +5,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from lovageshunt.calls import HomeStamp, RefusalReason
+from lovageshunt.calls import HomeNode, RefusalReason
 from lovageshunt.idempotency import (
     Action,
     AnswerNotRun,
@@ -111,7 +111,7 @@
         event.stamp = self.home
         return super().handle(event, now)
 
-    def _see(self, peers: Iterable[HomeStamp], now: float) -> None:
+    def _see(self, peers: Iterable[HomeNode], now: float) -> None:
         names = frozenset(peer.node for peer in peers) | {self.home.node}
         since = now if self._lists else self._started_at
         if not self._lists or self._lists[-1][1] != names:
@@ -142,7 +142,7 @@
         return self._started_at if taken_at is None else taken_at
 
 
-def _home_of(key: str, homes: Iterable[HomeStamp]) -> HomeStamp:
+def _home_of(key: str, homes: Iterable[HomeNode]) -> HomeNode:
     return max(homes, key=lambda home: _weight(key, home.node))
 
 
--- a/src/lovageshunt/calls/__init__.py
+++ b/src/lovageshunt/calls/__init__.py
@@ -10,7 +10,7 @@
     encode_answer,
     encode_context,
 )
-from lovageshunt.calls._context import CallContext, HomeStamp
+from lovageshunt.calls._context import CallContext, HomeNode
 from lovageshunt.calls._importance import (
     LOWEST_IMPORTANCE,
     RANK_COUNT,
@@ -30,7 +30,7 @@
     'AnswerInfo',
     'CallContext',
     'ContextKey',
-    'HomeStamp',
+    'HomeNode',
     'LoadReport',
     'Outcome',
     'RefusalReason',
--- a/src/lovageshunt/calls/_answer.py
+++ b/src/lovageshunt/calls/_answer.py
@@ -1,7 +1,7 @@
 """What an answer says beside its body."""
 
 from lovageshunt._record import Record
-from lovageshunt.calls._context import HomeStamp
+from lovageshunt.calls._context import HomeNode
 from lovageshunt.calls._outcome import Outcome, RefusalReason
 
 
@@ -64,7 +64,7 @@
         unspent: int = 0,
         threshold_by_service: dict[str, int] | None = None,
         load: LoadReport | None = None,
-        home: HomeStamp | None = None,
+        home: HomeNode | None = None,
         body_length: int = 0,
         suspicion: int = 0,
         calls_below: bool = True,
--- a/src/lovageshunt/calls/_codec.py
+++ b/src/lovageshunt/calls/_codec.py
@@ -6,7 +6,7 @@
 import orjson
 
 from lovageshunt.calls._answer import AnswerInfo, LoadReport
-from lovageshunt.calls._context import CallContext, HomeStamp
+from lovageshunt.calls._context import CallContext, HomeNode
 from lovageshunt.calls._importance import LOWEST_IMPORTANCE, RANK_COUNT
 from lovageshunt.calls._outcome import Outcome, RefusalReason
 from lovageshunt.calls._signing import ContextKey
@@ -124,7 +124,7 @@
 def _context_of(fields: dict[str, Any]) -> CallContext:
     home = fields.pop('home', None)
     if home is not None:
-        home = HomeStamp(**home)
+        home = HomeNode(**home)
     return CallContext(home=home, **fields)
 
 
@@ -133,7 +133,7 @@
     reason = fields.pop('reason', None)
     home = fields.pop('home', None)
     return AnswerInfo(
-        home=None if home is None else HomeStamp(**home),
+        home=None if home is None else HomeNode(**home),
         outcome=Outcome(fields.pop('outcome', '')),
         reason=None if reason is None else RefusalReason(reason),
         load=None if load is None else LoadReport(**load),
--- a/src/lovageshunt/calls/_context.py
+++ b/src/lovageshunt/calls/_context.py
@@ -4,7 +4,7 @@
 from lovageshunt.calls._importance import level_of
 
 
-class HomeStamp(Record):
+class HomeNode(Record):
     """The one node and incarnation that may run a call that never repeats."""
 
     __slots__ = ('node', 'incarnation')
@@ -56,7 +56,7 @@
         age_ms: int = 0,
         attempt: int = 1,
         retries_left: int = 0,
-        home: HomeStamp | None = None,
+        home: HomeNode | None = None,
         suspicion: int = 0,
         trace_parent: str = '',
     ) -> None:
--- a/src/lovageshunt/client/_attempts.py
+++ b/src/lovageshunt/client/_attempts.py
@@ -5,7 +5,7 @@
 
 from expression import Error, Ok, Result
 
-from lovageshunt.calls import CallContext, HomeStamp, Outcome, RefusalReason
+from lovageshunt.calls import CallContext, HomeNode, Outcome, RefusalReason
 from lovageshunt.client._attempt import AttemptEnd, send_attempt
 from lovageshunt.client._engine import Engine, ServiceLink
 from lovageshunt.client._messages import Answer, Call, call_error
@@ -170,7 +170,7 @@
             calls_below=self._link.calls_below,
         )
         if self._may_stamp(member):
-            context.home = HomeStamp(
+            context.home = HomeNode(
                 node=member.node,
                 incarnation=member.incarnation,
             )
--- a/src/lovageshunt/idempotency/_actions.py
+++ b/src/lovageshunt/idempotency/_actions.py
@@ -1,7 +1,7 @@
 """Actions that ``RunOnce`` returns for its node to carry out."""
 
 from lovageshunt._record import Record
-from lovageshunt.calls import HomeStamp
+from lovageshunt.calls import HomeNode
 from lovageshunt.idempotency._records import (
     Ending,
     HandOverEntry,
@@ -72,8 +72,8 @@
         self,
         *,
         call_id: str,
-        home: HomeStamp,
-        stamp: HomeStamp | None,
+        home: HomeNode,
+        stamp: HomeNode | None,
         attempt: int,
     ) -> None:
         self.call_id = call_id
@@ -95,7 +95,7 @@
         self,
         *,
         key: str,
-        peer: HomeStamp,
+        peer: HomeNode,
         age_ms: int,
         number: int,
         digest: int = 0,
@@ -116,7 +116,7 @@
         self,
         *,
         key: str,
-        asker: HomeStamp,
+        asker: HomeNode,
         number: int,
         answer: InquiryAnswer,
     ) -> None:
--- a/src/lovageshunt/idempotency/_events.py
+++ b/src/lovageshunt/idempotency/_events.py
@@ -1,7 +1,7 @@
 """Events that ``RunOnce`` handles."""
 
 from lovageshunt._record import Record
-from lovageshunt.calls import HomeStamp
+from lovageshunt.calls import HomeNode
 from lovageshunt.idempotency._records import (
     DepartedNode,
     Ending,
@@ -43,9 +43,9 @@
         key: str,
         attempt: int,
         deadline: float,
-        stamp: HomeStamp | None = None,
+        stamp: HomeNode | None = None,
         age_ms: int | None = None,
-        peers: tuple[HomeStamp, ...] | None = None,
+        peers: tuple[HomeNode, ...] | None = None,
         gone: tuple[DepartedNode, ...] = (),
     ) -> None:
         self.call_id = call_id
@@ -126,11 +126,11 @@
         self,
         *,
         key: str,
-        asker: HomeStamp,
+        asker: HomeNode,
         age_ms: int,
         number: int,
         digest: int = 0,
-        peers: tuple[HomeStamp, ...] = (),
+        peers: tuple[HomeNode, ...] = (),
         gone: tuple[DepartedNode, ...] = (),
     ) -> None:
         self.key = key
@@ -151,7 +151,7 @@
         self,
         *,
         key: str,
-        peer: HomeStamp,
+        peer: HomeNode,
         number: int,
         answer: InquiryAnswer,
     ) -> None:
@@ -166,7 +166,7 @@
 
     __slots__ = ('key', 'peer', 'number')
 
-    def __init__(self, *, key: str, peer: HomeStamp, number: int) -> None:
+    def __init__(self, *, key: str, peer: HomeNode, number: int) -> None:
         self.key = key
         self.peer = peer
         self.number = number
@@ -221,7 +221,7 @@
     def __init__(
         self,
         *,
-        leaver: HomeStamp,
+        leaver: HomeNode,
         entries: tuple[HandOverEntry, ...],
     ) -> None:
         self.leaver = leaver
--- a/src/lovageshunt/idempotency/_inquiring.py
+++ b/src/lovageshunt/idempotency/_inquiring.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from lovageshunt.calls import HomeStamp, RefusalReason
+from lovageshunt.calls import HomeNode, RefusalReason
 from lovageshunt.idempotency._actions import (
     Action,
     AnswerInquiry,
@@ -289,7 +289,7 @@
     event: InquiryReceived,
     state: NodeState,
     possible_runners: set[Identity],
-) -> tuple[HomeStamp, ...]:
+) -> tuple[HomeNode, ...]:
     """Return the nodes known here; empty if the asker knows the same."""
     known = possible_runners.union(
         map(identity_of, event.peers),
@@ -300,7 +300,7 @@
     return tuple(map(stamp_of, sorted(known)))
 
 
-def _earlier_promise(entry: Entry, asker: Identity) -> HomeStamp | None:
+def _earlier_promise(entry: Entry, asker: Identity) -> HomeNode | None:
     if entry.home is None or entry.home == asker:
         return None
     return stamp_of(entry.home)
--- a/src/lovageshunt/idempotency/_records.py
+++ b/src/lovageshunt/idempotency/_records.py
@@ -6,19 +6,19 @@
 from xxhash import xxh3_64_intdigest
 
 from lovageshunt._record import Record
-from lovageshunt.calls import HomeStamp, Outcome, RefusalReason
+from lovageshunt.calls import HomeNode, Outcome, RefusalReason
 
-#: Node name and incarnation; hashable, unlike ``HomeStamp``.
+#: Node name and incarnation; hashable, unlike ``HomeNode``.
 Identity = tuple[str, str]
 
 
-def identity_of(home: HomeStamp) -> Identity:
+def identity_of(home: HomeNode) -> Identity:
     """Return a stamp as a hashable key for sets and dictionaries."""
     return (home.node, home.incarnation)
 
 
-def stamp_of(identity: Identity) -> HomeStamp:
-    return HomeStamp(node=identity[0], incarnation=identity[1])
+def stamp_of(identity: Identity) -> HomeNode:
+    return HomeNode(node=identity[0], incarnation=identity[1])
 
 
 def digest_of(identities: Iterable[Identity]) -> int:
@@ -79,7 +79,7 @@
     def __init__(
         self,
         *,
-        home: HomeStamp,
+        home: HomeNode,
         seconds_ago: float,
         is_proved_dead: bool = False,
     ) -> None:
@@ -130,11 +130,11 @@
         self,
         *,
         claim: Claim,
-        answerer: HomeStamp,
-        home: HomeStamp | None = None,
+        answerer: HomeNode,
+        home: HomeNode | None = None,
         refused_through: int = 0,
-        known: tuple[HomeStamp, ...] = (),
-        covered: tuple[HomeStamp, ...] = (),
+        known: tuple[HomeNode, ...] = (),
+        covered: tuple[HomeNode, ...] = (),
         is_witness: bool = False,
     ) -> None:
         self.claim = claim
--- a/src/lovageshunt/idempotency/_run_once.py
+++ b/src/lovageshunt/idempotency/_run_once.py
@@ -1,6 +1,6 @@
 """At-most-once execution at one node, as a state machine without I/O."""
 
-from lovageshunt.calls import HomeStamp
+from lovageshunt.calls import HomeNode
 from lovageshunt.idempotency import _arriving, _inquiring, _leaving, _running
 from lovageshunt.idempotency._actions import Action
 from lovageshunt.idempotency._deciding import decide
@@ -39,10 +39,10 @@
         )
 
     @property
-    def home(self) -> HomeStamp:
+    def home(self) -> HomeNode:
         """Return the stamp that makes this node the home of a call."""
         node, incarnation = self._state.identity
-        return HomeStamp(node=node, incarnation=incarnation)
+        return HomeNode(node=node, incarnation=incarnation)
 
     @property
     def entry_count(self) -> int:
--- a/src/lovageshunt/node/control/_identity.py
+++ b/src/lovageshunt/node/control/_identity.py
@@ -1,7 +1,7 @@
 """Who this node is, for the whole of its life."""
 
 from lovageshunt._record import Record
-from lovageshunt.calls import HomeStamp
+from lovageshunt.calls import HomeNode
 
 
 class Identity(Record):
@@ -38,6 +38,6 @@
         self.incarnation = incarnation
 
     @property
-    def home(self) -> HomeStamp:
+    def home(self) -> HomeNode:
         """Return the stamp that makes this node the home of a call."""
-        return HomeStamp(node=self.name, incarnation=self.incarnation)
+        return HomeNode(node=self.name, incarnation=self.incarnation)
--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -15,7 +15,7 @@
     ANSWER_HEADER,
     CONTEXT_HEADER,
     ContextKey,
-    HomeStamp,
+    HomeNode,
     Outcome,
     RefusalReason,
     decode_answer,
@@ -110,7 +110,7 @@
     def expect(
         self,
         key: str,
-        asker: HomeStamp,
+        asker: HomeNode,
         number: int,
     ) -> Future[InquiryAnswer]:
         """Return where the own answer to a peer's question will appear."""
--- a/src/lovageshunt/node/control/_inquiry_codec.py
+++ b/src/lovageshunt/node/control/_inquiry_codec.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from lovageshunt.calls import HomeStamp, Outcome, RefusalReason
+from lovageshunt.calls import HomeNode, Outcome, RefusalReason
 from lovageshunt.errors import MalformedEnvelopeError
 from lovageshunt.idempotency import (
     Claim,
@@ -19,7 +19,7 @@
 )
 
 
-def encode_inquiry(asker: HomeStamp, inquiry: Inquire) -> bytes:
+def encode_inquiry(asker: HomeNode, inquiry: Inquire) -> bytes:
     """Return the question of one node as JSON."""
     fields = inquiry.as_dict()
     fields.pop('peer')
@@ -31,7 +31,7 @@
     """Return the question; raises ``MalformedEnvelopeError``."""
     try:
         fields = orjson.loads(body)
-        asker = HomeStamp(**fields.pop('asker'))
+        asker = HomeNode(**fields.pop('asker'))
         return InquiryReceived(asker=asker, **fields)
     except (LookupError, TypeError, ValueError) as error:
         raise MalformedEnvelopeError(repr(error)) from error
@@ -59,16 +59,16 @@
     home = fields.pop('home')
     return InquiryAnswer(
         claim=Claim(fields.pop('claim')),
-        answerer=HomeStamp(**fields.pop('answerer')),
-        home=HomeStamp(**home) if home else None,
-        known=tuple(HomeStamp(**one) for one in fields.pop('known')),
-        covered=tuple(HomeStamp(**one) for one in fields.pop('covered')),
+        answerer=HomeNode(**fields.pop('answerer')),
+        home=HomeNode(**home) if home else None,
+        known=tuple(HomeNode(**one) for one in fields.pop('known')),
+        covered=tuple(HomeNode(**one) for one in fields.pop('covered')),
         **fields,
     )
 
 
 def encode_hand_over(
-    leaver: HomeStamp,
+    leaver: HomeNode,
     entries: tuple[HandOverEntry, ...],
 ) -> bytes:
     """Return what a leaving node knows of calls as JSON."""
@@ -92,7 +92,7 @@
     try:
         fields = orjson.loads(body)
         return HandOverReceived(
-            leaver=HomeStamp(**fields['leaver']),
+            leaver=HomeNode(**fields['leaver']),
             entries=tuple(
                 HandOverEntry(
                     key=str(entry['key']),
--- a/src/lovageshunt/node/control/_service_peers.py
+++ b/src/lovageshunt/node/control/_service_peers.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from lovageshunt.calls import HomeStamp
+from lovageshunt.calls import HomeNode
 from lovageshunt.idempotency import DepartedNode
 from lovageshunt.membership import Member
 
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         """Begin without a picture."""
-        self.peers: tuple[HomeStamp, ...] | None = None
+        self.peers: tuple[HomeNode, ...] | None = None
         self._incarnation_by_name: dict[str, str] = {}
         self._gone_at: dict[_Identity, float] = {}
         self._dead: set[_Identity] = set()
@@ -41,7 +41,7 @@
         for member in members:
             self._see(member, now)
         self.peers = tuple(
-            HomeStamp(node=member.name, incarnation=member.incarnation)
+            HomeNode(node=member.name, incarnation=member.incarnation)
             for member in members
         )
         for member in departed:
@@ -55,7 +55,7 @@
         """Return the nodes that were members lately and are no longer."""
         return tuple(
             DepartedNode(
-                home=HomeStamp(node=identity[0], incarnation=identity[1]),
+                home=HomeNode(node=identity[0], incarnation=identity[1]),
                 seconds_ago=max(0, now - gone_at),
                 is_proved_dead=identity in self._dead,
             )
--- a/src/lovageshunt/node/gate/_messages.py
+++ b/src/lovageshunt/node/gate/_messages.py
@@ -1,7 +1,7 @@
 """What the gate is told about calls, and what it asks of its daemon."""
 
 from lovageshunt._record import Record
-from lovageshunt.calls import CallContext, HomeStamp, RefusalReason
+from lovageshunt.calls import CallContext, HomeNode, RefusalReason
 from lovageshunt.idempotency import DepartedNode, Ending
 
 
@@ -32,7 +32,7 @@
         is_repeatable: bool,
         fingerprint: str,
         deadline: float,
-        peers: tuple[HomeStamp, ...] | None = None,
+        peers: tuple[HomeNode, ...] | None = None,
         gone: tuple[DepartedNode, ...] = (),
     ) -> None:
         """Take the call and what is known about it."""
--- a/src/lovageshunt/node/serving/_border.py
+++ b/src/lovageshunt/node/serving/_border.py
@@ -13,7 +13,7 @@
     CONTEXT_HEADER,
     CallContext,
     ContextKey,
-    HomeStamp,
+    HomeNode,
     Outcome,
     RefusalReason,
     decode_known_context,
@@ -193,7 +193,7 @@
 def forwarded_context(
     context: CallContext,
     *,
-    home: HomeStamp | None,
+    home: HomeNode | None,
     seconds_left: float,
     elapsed_seconds: float,
     trace_parent: str,
--- a/tests/calls/test_codec.py
+++ b/tests/calls/test_codec.py
@@ -7,7 +7,7 @@
 from lovageshunt.calls import (
     AnswerInfo,
     CallContext,
-    HomeStamp,
+    HomeNode,
     LoadReport,
     Outcome,
     RefusalReason,
@@ -27,7 +27,7 @@
         importance=st.integers(0, 7),
         rank=st.integers(0, 65535),
         attempt=st.integers(0, 9),
-        home=st.none() | st.just(HomeStamp(node='n1', incarnation='a')),
+        home=st.none() | st.just(HomeNode(node='n1', incarnation='a')),
     )
     def test_round_trip(self, request_id, importance, rank, attempt, home):
         """A context survives the wire unchanged."""
@@ -96,7 +96,7 @@
             reason=RefusalReason.OVERLOAD,
             retry_after_ms=250,
             threshold_by_service={'records': 12},
-            home=HomeStamp(node='n1', incarnation='a'),
+            home=HomeNode(node='n1', incarnation='a'),
             load=LoadReport(running=1, waiting=2, limit=3, service_ms=4.5),
         )
 
--- a/tests/client/test_attempts.py
+++ b/tests/client/test_attempts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lovageshunt.calls import HomeStamp, Outcome, RefusalReason
+from lovageshunt.calls import HomeNode, Outcome, RefusalReason
 from lovageshunt.errors import (
     CallFailedError,
     CallNotRunError,
@@ -166,7 +166,7 @@
         async with client_of(nodes, is_repeatable=False, count=3) as client:
             assert (await call(client)).is_ok()
         first, second = nodes.arrivals
-        stamp = HomeStamp(
+        stamp = HomeNode(
             node=first.node,
             incarnation=f'life-of-{first.node}',
         )
@@ -195,7 +195,7 @@
                 Outcome.UNKNOWN,
                 RefusalReason.CONNECTION_LOST,
                 retry_after_ms=1,
-                home=HomeStamp(node=home, incarnation='named'),
+                home=HomeNode(node=home, incarnation='named'),
             )
 
         nodes = FakeNodes(first_other(doubt_of_other, answer))
--- a/tests/idempotency/nodes.py
+++ b/tests/idempotency/nodes.py
@@ -1,6 +1,6 @@
 """A node with two peers, and functions that send it events."""
 
-from lovageshunt.calls import HomeStamp, Outcome, RefusalReason
+from lovageshunt.calls import HomeNode, Outcome, RefusalReason
 from lovageshunt.idempotency import (
     AttemptReceived,
     Claim,
@@ -17,9 +17,9 @@
 )
 
 NOW = 1000
-ME = HomeStamp(node='b', incarnation='1')
-LOWER = HomeStamp(node='a', incarnation='1')
-HIGHER = HomeStamp(node='c', incarnation='1')
+ME = HomeNode(node='b', incarnation='1')
+LOWER = HomeNode(node='a', incarnation='1')
+HIGHER = HomeNode(node='c', incarnation='1')
 PEERS = (LOWER, HIGHER)
 ANSWERED = Ending(
     outcome=Outcome.ANSWERED,
--- a/tests/idempotency/test_arriving.py
+++ b/tests/idempotency/test_arriving.py
@@ -1,6 +1,6 @@
 """Handling of attempts when they arrive."""
 
-from lovageshunt.calls import HomeStamp, RefusalReason
+from lovageshunt.calls import HomeNode, RefusalReason
 from lovageshunt.idempotency import (
     AnswerNotRun,
     AnswerUnknown,
@@ -81,7 +81,7 @@
 
     def test_stamp_of_an_earlier_incarnation_is_not_run(self, node):
         """The single message arrived here, so its old home did not run it."""
-        stamp = HomeStamp(node='b', incarnation='0')
+        stamp = HomeNode(node='b', incarnation='0')
 
         refusal = only(node.handle(requested('x', 1, stamp=stamp), NOW))
 
@@ -175,7 +175,7 @@
 
     def test_later_incarnation_cannot_promise_for_the_one_asked(self, node):
         """The process that answers may not be the one that ran the call."""
-        later = HomeStamp(node='c', incarnation='2')
+        later = HomeNode(node='c', incarnation='2')
         node.handle(requested('x', 2), NOW)
         promise(node, LOWER)
 
@@ -193,7 +193,7 @@
 
     def test_node_known_to_a_peer_only_is_asked_too(self, node):
         """The answers add nodes that are missing from an outdated list."""
-        newer = HomeStamp(node='d', incarnation='1')
+        newer = HomeNode(node='d', incarnation='1')
         node.handle(requested('x', 2), NOW)
 
         asked = only(promise(node, LOWER, known=(ME, newer)))
@@ -224,7 +224,7 @@
 
     def test_later_incarnation_proves_the_earlier_ended(self, node):
         """It settled before the call, so the earlier one had ended by then."""
-        earlier = HomeStamp(node='c', incarnation='0')
+        earlier = HomeNode(node='c', incarnation='0')
         node.handle(requested('x', 2, peers=(*PEERS, earlier)), NOW)
         node.handle(InquiryFailed(key='k', peer=earlier, number=1), NOW)
         promise(node, LOWER)
@@ -267,7 +267,7 @@
 
     def test_stamp_of_a_lost_home_is_unknown(self, node):
         """Proof needs the home's own answer, and the home is gone."""
-        lost = HomeStamp(node='d', incarnation='1')
+        lost = HomeNode(node='d', incarnation='1')
         node.handle(requested('x', 2, stamp=lost), NOW)
         promise(node, LOWER)
         promise(node, HIGHER)
--- a/tests/idempotency/test_safeguards.py
+++ b/tests/idempotency/test_safeguards.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bench.run_once import Caller, CallerKind, Fleet, make_node
-from lovageshunt.calls import HomeStamp
+from lovageshunt.calls import HomeNode
 from lovageshunt.idempotency import (
     AnswerInquiry,
     AttemptReceived,
@@ -30,7 +30,7 @@
     """Base class of nodes that lack one safeguard."""
 
     @classmethod
-    def make(cls, home: HomeStamp, started_at: float):
+    def make(cls, home: HomeNode, started_at: float):
         """Return a node of this class with the default settings."""
         return cls(
             node=home.node,
--- a/tests/node/control/test_fleet_view.py
+++ b/tests/node/control/test_fleet_view.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from lovageshunt.calls import HomeStamp
+from lovageshunt.calls import HomeNode
 from lovageshunt.clock import now
 from lovageshunt.membership import (
     Announcement,
@@ -76,7 +76,7 @@
         fleet = make_fleet_view()
         announce(fleet, '2')
 
-        assert fleet.peers.peers == (HomeStamp(node='n2', incarnation='2'),)
+        assert fleet.peers.peers == (HomeNode(node='n2', incarnation='2'),)
 
     def test_replaced_incarnation_is_remembered_as_gone(self):
         """The next resend must be asked about it, though its name is here."""
--- a/tests/node/control/test_inquiry_codec.py
+++ b/tests/node/control/test_inquiry_codec.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lovageshunt.calls import HomeStamp, Outcome, RefusalReason
+from lovageshunt.calls import HomeNode, Outcome, RefusalReason
 from lovageshunt.errors import MalformedEnvelopeError
 from lovageshunt.idempotency import (
     Claim,
@@ -21,8 +21,8 @@
     encode_inquiry_answer,
 )
 
-_N1 = HomeStamp(node='n1', incarnation='a')
-_N2 = HomeStamp(node='n2', incarnation='b')
+_N1 = HomeNode(node='n1', incarnation='a')
+_N2 = HomeNode(node='n2', incarnation='b')
 
 
 class TestInquiry:
--- a/tests/node/gate/test_gate.py
+++ b/tests/node/gate/test_gate.py
@@ -10,7 +10,7 @@
 )
 
 from lovageshunt.admission import Admission, AdmissionSettings
-from lovageshunt.calls import CallContext, HomeStamp, Outcome, RefusalReason
+from lovageshunt.calls import CallContext, HomeNode, Outcome, RefusalReason
 from lovageshunt.idempotency import (
     Ending,
     Resumed,
@@ -34,7 +34,7 @@
 from lovageshunt.retries import Quarantine, QuarantineSettings
 
 _SLOTS = 2
-_HOME = HomeStamp(node='n1', incarnation='a')
+_HOME = HomeNode(node='n1', incarnation='a')
 _KEYS = st.sampled_from(('k1', 'k2', 'k3'))
 
 
