--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -20,7 +20,7 @@
     causes_of,
     total_of,
 )
-from lovageshunt.account._merge import Hole, MergedAccount
+from lovageshunt.account._merge import AccountGap, MergedAccount
 from lovageshunt.account._reconcile import Difference, Reading, reconcile
 from lovageshunt.account._snapshot import (
     AccountSnapshot,
@@ -43,7 +43,7 @@
     'AccountSnapshot',
     'Cause',
     'Difference',
-    'Hole',
+    'AccountGap',
     'Imbalance',
     'KeepingTick',
     'KeptSnapshots',
--- a/src/lovageshunt/account/_merge.py
+++ b/src/lovageshunt/account/_merge.py
@@ -16,7 +16,7 @@
 IncarnationKey = tuple[str, str]
 
 
-class Hole(Record):
+class AccountGap(Record):
     """A time for which nobody has the counters of an incarnation.
 
     From the last snapshot (``from_at``) to the start of the replacement, or
@@ -93,14 +93,14 @@
         self,
         now: float,
         live: Collection[IncarnationKey],
-    ) -> list[Hole]:
+    ) -> list[AccountGap]:
         """Return the holes, given the incarnations that answer ``now``.
 
         An incarnation that is neither live nor has handed over its final
         snapshot leaves one. What a lost caller saw is in no account.
         """
         return [
-            Hole(
+            AccountGap(
                 node=snapshot.node,
                 incarnation=snapshot.incarnation,
                 services=sorted({line.service for line in snapshot.lines}),
--- a/src/lovageshunt/cli/_account_report.py
+++ b/src/lovageshunt/cli/_account_report.py
@@ -6,10 +6,10 @@
 
 from lovageshunt._record import Record
 from lovageshunt.account import (
+    AccountGap,
     AccountLine,
     AccountSnapshot,
     Difference,
-    Hole,
     Imbalance,
     MergedAccount,
     Owner,
@@ -38,7 +38,7 @@
             for own in map(self._take, answers)
             if own is not None
         ]
-        self.holes: list[Hole] = self.account.holes(now, live)
+        self.holes: list[AccountGap] = self.account.holes(now, live)
 
     @property
     def has_callers(self) -> bool:
@@ -155,7 +155,7 @@
         ]
 
 
-def _hole_line(hole: Hole) -> str:
+def _hole_line(hole: AccountGap) -> str:
     return (
         f'hole: {hole.node} {hole.incarnation} from {_shown_time(hole.from_at)}'
         f' to {_shown_time(hole.to_at)}'
