--- a/src/lovageshunt/account/_merge.py
+++ b/src/lovageshunt/account/_merge.py
@@ -89,7 +89,7 @@
             if snapshot.role is role and not snapshot.is_final
         ]
 
-    def holes(
+    def gaps(
         self,
         now: float,
         live: Collection[IncarnationKey],
--- a/src/lovageshunt/cli/_account_report.py
+++ b/src/lovageshunt/cli/_account_report.py
@@ -26,7 +26,7 @@
 class Collection:
     """The snapshots in the answers of the nodes, and what went wrong."""
 
-    __slots__ = ('account', 'errors', 'holes', '_held_by_owner')
+    __slots__ = ('account', 'errors', 'gaps', '_held_by_owner')
 
     def __init__(self, answers: list[NodeAnswer], now: float) -> None:
         """Merge the nodes' answers as of ``now``, in seconds since 1970."""
@@ -38,7 +38,7 @@
             for own in map(self._take, answers)
             if own is not None
         ]
-        self.holes: list[AccountGap] = self.account.holes(now, live)
+        self.gaps: list[AccountGap] = self.account.gaps(now, live)
 
     @property
     def has_callers(self) -> bool:
@@ -62,7 +62,7 @@
             callers=self.account.lines(Role.CALLER),
             nodes=self.account.lines(),
             holed_services=[
-                service for hole in self.holes for service in hole.services
+                service for hole in self.gaps for service in hole.services
             ],
             callers_taken_at=min(
                 self.account.taken_at(Role.CALLER),
@@ -124,7 +124,7 @@
             for difference in self.differences
             if not difference.is_explained
         ]
-        missing = found.errors or found.holes
+        missing = found.errors or found.gaps
         return not (missing or found.imbalances() or unexplained)
 
     def lines(self, role: Role = Role.NODE) -> list[AccountLine]:
@@ -138,7 +138,7 @@
             'is_whole': self.is_whole,
             'nodes': _dicts(self.lines()),
             'callers': _dicts(self.lines(Role.CALLER)),
-            'holes': _dicts(found.holes),
+            'holes': _dicts(found.gaps),
             'imbalances': _dicts(found.imbalances()),
             'differences': _dicts(self.differences),
             'errors': [str(error) for error in found.errors],
@@ -149,7 +149,7 @@
         found = self._collection
         return [
             *map(str, found.errors),
-            *map(_hole_line, found.holes),
+            *map(_hole_line, found.gaps),
             *map(_imbalance_line, found.imbalances()),
             *map(_difference_line, self.differences),
         ]
--- a/tests/account/test_keeping.py
+++ b/tests/account/test_keeping.py
@@ -173,11 +173,11 @@
         fleet = self.fleet
         merged = fleet.collect()
 
-        holes = merged.holes(fleet.now, fleet.live())
+        gaps = merged.gaps(fleet.now, fleet.live())
 
-        assert len(holes) == self.lost
+        assert len(gaps) == self.lost
         counted = sum(line.answered for line in merged.lines())
-        assert counted == self.answered or holes
+        assert counted == self.answered or gaps
 
 
 TestKeepingMachine = KeepingMachine.TestCase
@@ -197,7 +197,7 @@
 
         fleet.lose('n0')
 
-        hole = only(fleet.collect().holes(fleet.now, fleet.live()))
+        hole = only(fleet.collect().gaps(fleet.now, fleet.live()))
         assert fleet.now - hole.from_at <= 31
 
     def test_final_snapshot_outlives_all_its_keepers(self):
@@ -214,7 +214,7 @@
 
         merged = fleet.collect()
         assert only(merged.lines()).answered == 1
-        assert not merged.holes(fleet.now, fleet.live())
+        assert not merged.gaps(fleet.now, fleet.live())
 
     def test_hole_outlives_all_its_keepers(self):
         """A lost node is known when every other node is lost, one by one."""
@@ -225,8 +225,8 @@
             fleet.start(number)
             fleet.run(200)
 
-        holes = fleet.collect().holes(fleet.now, fleet.live())
-        assert [hole.node for hole in holes] == ['n0', 'n1', 'n2', 'n3', 'n4']
+        gaps = fleet.collect().gaps(fleet.now, fleet.live())
+        assert [hole.node for hole in gaps] == ['n0', 'n1', 'n2', 'n3', 'n4']
 
     def test_lost_handing_on_is_repeated(self):
         """An account handed on in vain is handed on again half an hour on."""
@@ -254,8 +254,8 @@
         fleet.lose('n1')
         fleet.lose('n0')
 
-        holes = fleet.collect().holes(fleet.now, fleet.live())
-        assert [hole.node for hole in holes] == ['n0', 'n1']
+        gaps = fleet.collect().gaps(fleet.now, fleet.live())
+        assert [hole.node for hole in gaps] == ['n0', 'n1']
 
     def test_bytes_stay_within_the_rate(self):
         """Over any time a node sends its rate and one message at most."""
--- a/tests/account/test_merge.py
+++ b/tests/account/test_merge.py
@@ -71,7 +71,7 @@
             [snapshot_of(), snapshot_of('n1', 'b', started_at=25.0)],
         )
 
-        hole = only(merged.holes(now=99, live=[('n1', 'b')]))
+        hole = only(merged.gaps(now=99, live=[('n1', 'b')]))
 
         assert (hole.incarnation, hole.from_at, hole.to_at) == ('a', 10.0, 25.0)
 
@@ -79,7 +79,7 @@
         """Without a replacement the hole is still open."""
         merged = MergedAccount([snapshot_of()])
 
-        hole = only(merged.holes(now=99, live=[]))
+        hole = only(merged.gaps(now=99, live=[]))
 
         assert hole.to_at == 99
 
@@ -87,4 +87,4 @@
         """A final snapshot closes the account of its incarnation."""
         merged = MergedAccount([snapshot_of(is_final=True)])
 
-        assert not merged.holes(now=99, live=[])
+        assert not merged.gaps(now=99, live=[])
