--- a/src/lovageshunt/account/_reconcile.py
+++ b/src/lovageshunt/account/_reconcile.py
@@ -50,7 +50,7 @@
 class Reading(Record):
     """The lines of callers and of nodes, taken at about one moment.
 
-    ``holed_services`` are those with a hole in the nodes' account. Callers
+    ``services_with_gaps`` are those with a hole in the nodes' account. Callers
     report from time to time: ``callers_taken_at`` is when the least recent
     of their accounts was taken, and ``nodes_taken_at`` when the most recent
     of the nodes' was, in seconds since 1970.
@@ -59,7 +59,7 @@
     __slots__ = (
         'callers',
         'nodes',
-        'holed_services',
+        'services_with_gaps',
         'callers_taken_at',
         'nodes_taken_at',
     )
@@ -69,14 +69,14 @@
         *,
         callers: Iterable[AccountLine],
         nodes: Iterable[AccountLine],
-        holed_services: Collection[str] = (),
+        services_with_gaps: Collection[str] = (),
         callers_taken_at: float = inf,
         nodes_taken_at: float = -inf,
     ) -> None:
         """Sum the lines of each side by key."""
         self.callers = {line.key: line for line in total_of(callers)}
         self.nodes = {line.key: line for line in total_of(nodes)}
-        self.holed_services = holed_services
+        self.services_with_gaps = services_with_gaps
         self.callers_taken_at = callers_taken_at
         self.nodes_taken_at = nodes_taken_at
 
@@ -127,7 +127,7 @@
 ) -> list[Difference]:
     service = key[0]
     # A hole hides calls of nodes, so nodes' figures are too low.
-    is_holed = service in second.holed_services
+    is_holed = service in second.services_with_gaps
     # Nodes may have counted what callers have not reported yet.
     is_ahead = (
         second.callers_taken_at <= first.nodes_taken_at
--- a/src/lovageshunt/cli/_account_report.py
+++ b/src/lovageshunt/cli/_account_report.py
@@ -61,7 +61,7 @@
         return Reading(
             callers=self.account.lines(Role.CALLER),
             nodes=self.account.lines(),
-            holed_services=[
+            services_with_gaps=[
                 service for hole in self.gaps for service in hole.services
             ],
             callers_taken_at=min(
--- a/tests/account/test_reconcile.py
+++ b/tests/account/test_reconcile.py
@@ -147,7 +147,7 @@
         world = run(World.send, World.arrive, World.end, World.receive)
         world.node = Account('n1', 'a', 0)
 
-        found = reconcile(world.reading(holed_services=['balances']))
+        found = reconcile(world.reading(services_with_gaps=['balances']))
 
         assert only(found).is_explained
 
