--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -21,7 +21,7 @@
     total_of,
 )
 from lovageshunt.account._merge import AccountGap, MergedAccount
-from lovageshunt.account._reconcile import Difference, Reading, reconcile
+from lovageshunt.account._reconcile import AccountSample, Difference, reconcile
 from lovageshunt.account._snapshot import (
     AccountSnapshot,
     Owner,
@@ -50,7 +50,7 @@
     'MergedAccount',
     'Owner',
     'Peer',
-    'Reading',
+    'AccountSample',
     'Role',
     'SendSnapshot',
     'SnapshotHeard',
--- a/src/lovageshunt/account/_reconcile.py
+++ b/src/lovageshunt/account/_reconcile.py
@@ -47,7 +47,7 @@
         self.is_explained = is_explained
 
 
-class Reading(Record):
+class AccountSample(Record):
     """The lines of callers and of nodes, taken at about one moment.
 
     ``services_with_gaps`` are those with a hole in the nodes' account. Callers
@@ -94,8 +94,8 @@
 
 
 def reconcile(
-    first: Reading,
-    second: Reading | None = None,
+    first: AccountSample,
+    second: AccountSample | None = None,
 ) -> list[Difference]:
     """Return where callers' figures contradict nodes' figures.
 
@@ -122,8 +122,8 @@
 
 def _differences(
     key: LineKey,
-    first: Reading,
-    second: Reading,
+    first: AccountSample,
+    second: AccountSample,
 ) -> list[Difference]:
     service = key[0]
     # A hole hides calls of nodes, so nodes' figures are too low.
--- a/src/lovageshunt/cli/_account_report.py
+++ b/src/lovageshunt/cli/_account_report.py
@@ -8,12 +8,12 @@
 from lovageshunt.account import (
     AccountGap,
     AccountLine,
+    AccountSample,
     AccountSnapshot,
     Difference,
     Imbalance,
     MergedAccount,
     Owner,
-    Reading,
     Role,
     balance,
     reconcile,
@@ -56,9 +56,9 @@
             )
         ]
 
-    def reading(self) -> Reading:
+    def reading(self) -> AccountSample:
         """Return the figures to compare callers with nodes."""
-        return Reading(
+        return AccountSample(
             callers=self.account.lines(Role.CALLER),
             nodes=self.account.lines(),
             services_with_gaps=[
--- a/tests/account/test_reconcile.py
+++ b/tests/account/test_reconcile.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lovageshunt.account import Account, Reading, Role, reconcile
+from lovageshunt.account import Account, AccountSample, Role, reconcile
 from lovageshunt.calls import Outcome, RefusalReason
 from tests.only import only
 
@@ -64,7 +64,7 @@
 
     def reading(self, **fields):
         """Return the figures of this moment."""
-        return Reading(
+        return AccountSample(
             callers=self.caller.snapshot(1).lines,
             nodes=self.node.snapshot(1).lines,
             **fields,
@@ -114,7 +114,7 @@
         first = world.reading()
         for step, outcome in between:
             step(world, outcome)
-        first = Reading(
+        first = AccountSample(
             callers=first.callers.values(),
             nodes=world.reading().nodes.values(),
         )
