--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -23,8 +23,8 @@
 from lovageshunt.account._merge import AccountGap, MergedAccount
 from lovageshunt.account._reconcile import AccountSample, Difference, reconcile
 from lovageshunt.account._snapshot import (
+    AccountKey,
     AccountSnapshot,
-    Owner,
     Role,
     decode_snapshot,
     encode_snapshot,
@@ -48,7 +48,7 @@
     'KeepingTick',
     'KeptSnapshots',
     'MergedAccount',
-    'Owner',
+    'AccountKey',
     'Peer',
     'AccountSample',
     'Role',
--- a/src/lovageshunt/account/_keeping.py
+++ b/src/lovageshunt/account/_keeping.py
@@ -11,8 +11,8 @@
 from lovageshunt.account._kept import KeptSnapshots
 from lovageshunt.account._merge import IncarnationKey
 from lovageshunt.account._snapshot import (
+    AccountKey,
     AccountSnapshot,
-    Owner,
     encode_snapshot,
 )
 
@@ -23,7 +23,7 @@
 #: What was handed on is sent again after so long, in case it was lost.
 _REPEAT_SECONDS: Final = 1800
 #: An account, and the life of a keeper that it was handed to.
-_Handing = tuple[Owner, IncarnationKey]
+_Handing = tuple[AccountKey, IncarnationKey]
 #: An account that was not heard for so long belongs to a lost node.
 _QUIET_SECONDS: Final = 3 * INTERVAL_SECONDS
 
--- a/src/lovageshunt/account/_kept.py
+++ b/src/lovageshunt/account/_kept.py
@@ -4,8 +4,8 @@
 
 from lovageshunt._record import Record
 from lovageshunt.account._snapshot import (
+    AccountKey,
     AccountSnapshot,
-    Owner,
     Role,
     decode_snapshot,
     encode_snapshot,
@@ -54,9 +54,9 @@
     def __init__(self) -> None:
         """Start with nothing."""
         self.forgotten = 0
-        self._kept_by_owner: dict[Owner, KeptSnapshot] = {}
+        self._kept_by_owner: dict[AccountKey, KeptSnapshot] = {}
 
-    def __contains__(self, owner: Owner) -> bool:
+    def __contains__(self, owner: AccountKey) -> bool:
         """Say whether an account is kept."""
         return owner in self._kept_by_owner
 
@@ -86,7 +86,7 @@
         for owner in old:
             self._forget(owner)
 
-    def quiet_since(self, moment: float) -> list[tuple[Owner, bytes]]:
+    def quiet_since(self, moment: float) -> list[tuple[AccountKey, bytes]]:
         """Return those that are final or were last heard before ``moment``."""
         return [
             (owner, kept.raw)
@@ -103,10 +103,10 @@
             if owner[0] is role
         ]
 
-    def _oldest(self) -> Owner:
+    def _oldest(self) -> AccountKey:
         kept = self._kept_by_owner
         return min(kept, key=lambda owner: (kept[owner].heard_at, owner))
 
-    def _forget(self, owner: Owner) -> None:
+    def _forget(self, owner: AccountKey) -> None:
         self._kept_by_owner.pop(owner)
         self.forgotten += 1
--- a/src/lovageshunt/account/_merge.py
+++ b/src/lovageshunt/account/_merge.py
@@ -6,8 +6,8 @@
 from lovageshunt._record import Record
 from lovageshunt.account._line import AccountLine, total_of
 from lovageshunt.account._snapshot import (
+    AccountKey,
     AccountSnapshot,
-    Owner,
     Role,
     encode_snapshot,
 )
@@ -52,7 +52,7 @@
 
     def __init__(self, snapshots: Iterable[AccountSnapshot] = ()) -> None:
         """Take in the snapshots, if any."""
-        self._newest_by_owner: dict[Owner, AccountSnapshot] = {}
+        self._newest_by_owner: dict[AccountKey, AccountSnapshot] = {}
         for snapshot in snapshots:
             self.add(snapshot)
 
--- a/src/lovageshunt/account/_snapshot.py
+++ b/src/lovageshunt/account/_snapshot.py
@@ -28,7 +28,7 @@
 
 
 #: What names an account: role, node and incarnation.
-Owner = tuple[Role, str, str]
+AccountKey = tuple[Role, str, str]
 
 
 class AccountSnapshot(Record):
@@ -73,7 +73,7 @@
         self.lines = lines or []
 
     @property
-    def owner(self) -> Owner:
+    def owner(self) -> AccountKey:
         """Return whose account this is."""
         return (self.role, self.node, self.incarnation)
 
--- a/src/lovageshunt/cli/_account_report.py
+++ b/src/lovageshunt/cli/_account_report.py
@@ -7,13 +7,13 @@
 from lovageshunt._record import Record
 from lovageshunt.account import (
     AccountGap,
+    AccountKey,
     AccountLine,
     AccountSample,
     AccountSnapshot,
     Difference,
     Imbalance,
     MergedAccount,
-    Owner,
     Role,
     balance,
     reconcile,
@@ -32,7 +32,7 @@
         """Merge the nodes' answers as of ``now``, in seconds since 1970."""
         self.account = MergedAccount()
         self.errors: list[LovageshuntError] = []
-        self._held_by_owner: dict[Owner, dict[str, int]] = {}
+        self._held_by_owner: dict[AccountKey, dict[str, int]] = {}
         live = [
             (own.node, own.incarnation)
             for own in map(self._take, answers)
