--- a/src/lovageshunt/account/_keeping.py
+++ b/src/lovageshunt/account/_keeping.py
@@ -197,9 +197,9 @@
         now: float,
         peers: Sequence[Peer],
     ) -> Iterator[SendSnapshot]:
-        for owner, raw in self.kept.quiet_since(now - _QUIET_SECONDS):
-            for keeper in keepers_of(owner[1], peers):
-                handing = (owner, (keeper.node, keeper.incarnation))
+        for account_key, raw in self.kept.quiet_since(now - _QUIET_SECONDS):
+            for keeper in keepers_of(account_key[1], peers):
+                handing = (account_key, (keeper.node, keeper.incarnation))
                 is_own = keeper.node == self._own.node
                 if is_own or handing in self._handed_at:
                     continue
--- a/src/lovageshunt/account/_kept.py
+++ b/src/lovageshunt/account/_kept.py
@@ -56,17 +56,17 @@
         self.forgotten = 0
         self._kept_by_owner: dict[AccountKey, KeptSnapshot] = {}
 
-    def __contains__(self, owner: AccountKey) -> bool:
+    def __contains__(self, account_key: AccountKey) -> bool:
         """Say whether an account is kept."""
-        return owner in self._kept_by_owner
+        return account_key in self._kept_by_owner
 
     def keep(self, snapshot: AccountSnapshot, now: float) -> None:
         """Keep a snapshot unless a newer one of its life is kept."""
-        owner = snapshot.owner
-        held = self._kept_by_owner.get(owner)
+        account_key = snapshot.account_key
+        held = self._kept_by_owner.get(account_key)
         if held and held.sequence >= snapshot.sequence:
             return
-        self._kept_by_owner[owner] = KeptSnapshot(
+        self._kept_by_owner[account_key] = KeptSnapshot(
             raw=encode_snapshot(snapshot),
             sequence=snapshot.sequence,
             taken_at=snapshot.taken_at,
@@ -79,18 +79,18 @@
     def drop_old(self, now: float) -> None:
         """Drop what is older than a day and a little."""
         old = [
-            owner
-            for owner, kept in self._kept_by_owner.items()
+            account_key
+            for account_key, kept in self._kept_by_owner.items()
             if now - kept.heard_at > MAX_KEPT_SECONDS
         ]
-        for owner in old:
-            self._forget(owner)
+        for account_key in old:
+            self._forget(account_key)
 
     def quiet_since(self, moment: float) -> list[tuple[AccountKey, bytes]]:
         """Return those that are final or were last heard before ``moment``."""
         return [
-            (owner, kept.raw)
-            for owner, kept in self._kept_by_owner.items()
+            (account_key, kept.raw)
+            for account_key, kept in self._kept_by_owner.items()
             if kept.is_final or kept.heard_at < moment
         ]
 
@@ -98,15 +98,18 @@
         """Return what is kept of one role, ordered by node."""
         kept = self._kept_by_owner
         return [
-            decode_snapshot(kept[owner].raw)
-            for owner in sorted(kept)
-            if owner[0] is role
+            decode_snapshot(kept[account_key].raw)
+            for account_key in sorted(kept)
+            if account_key[0] is role
         ]
 
     def _oldest(self) -> AccountKey:
         kept = self._kept_by_owner
-        return min(kept, key=lambda owner: (kept[owner].heard_at, owner))
+        return min(
+            kept,
+            key=lambda account_key: (kept[account_key].heard_at, account_key),
+        )
 
-    def _forget(self, owner: AccountKey) -> None:
-        self._kept_by_owner.pop(owner)
+    def _forget(self, account_key: AccountKey) -> None:
+        self._kept_by_owner.pop(account_key)
         self.forgotten += 1
--- a/src/lovageshunt/account/_merge.py
+++ b/src/lovageshunt/account/_merge.py
@@ -58,9 +58,9 @@
 
     def add(self, snapshot: AccountSnapshot) -> None:
         """Take in a snapshot, unless a newer one of its life is held."""
-        held = self._newest_by_owner.get(snapshot.owner)
+        held = self._newest_by_owner.get(snapshot.account_key)
         if held is None or _age_order(held) < _age_order(snapshot):
-            self._newest_by_owner[snapshot.owner] = snapshot
+            self._newest_by_owner[snapshot.account_key] = snapshot
 
     def merge(self, other: 'MergedAccount') -> None:
         """Take in all that another merged account holds."""
--- a/src/lovageshunt/account/_snapshot.py
+++ b/src/lovageshunt/account/_snapshot.py
@@ -73,7 +73,7 @@
         self.lines = lines or []
 
     @property
-    def owner(self) -> AccountKey:
+    def account_key(self) -> AccountKey:
         """Return whose account this is."""
         return (self.role, self.node, self.incarnation)
 
--- a/src/lovageshunt/cli/_account_report.py
+++ b/src/lovageshunt/cli/_account_report.py
@@ -52,7 +52,7 @@
             for snapshot in self.account.snapshots()
             for imbalance in balance(
                 snapshot,
-                self._held_by_owner.get(snapshot.owner),
+                self._held_by_owner.get(snapshot.account_key),
             )
         ]
 
@@ -92,7 +92,7 @@
         self.account.add(own)
         held = body.get('held_by_service')
         if isinstance(held, dict):
-            self._held_by_owner[own.owner] = held
+            self._held_by_owner[own.account_key] = held
         return own
 
 
