--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -10,7 +10,7 @@
     AccountKeeping,
     KeepingTick,
     SendSnapshot,
-    SnapshotHeard,
+    SnapshotReceived,
 )
 from lovageshunt.account._kept import KeptSnapshots
 from lovageshunt.account._line import (
@@ -53,7 +53,7 @@
     'AccountSample',
     'Role',
     'SendSnapshot',
-    'SnapshotHeard',
+    'SnapshotReceived',
     'balance',
     'causes_of',
     'decode_snapshot',
--- a/src/lovageshunt/account/_keeping.py
+++ b/src/lovageshunt/account/_keeping.py
@@ -51,7 +51,7 @@
         self.peers = peers
 
 
-class SnapshotHeard(Record):
+class SnapshotReceived(Record):
     """A peer has sent an account to keep, its own or one handed on."""
 
     __slots__ = ('now', 'snapshot')
@@ -91,7 +91,7 @@
         self.raw = raw
 
 
-KeepingEvent = KeepingTick | SnapshotHeard | AccountClosed
+KeepingEvent = KeepingTick | SnapshotReceived | AccountClosed
 
 
 class AccountKeeping:
@@ -143,7 +143,7 @@
         return [action]
 
     @handle.register
-    def _on_heard(self, event: SnapshotHeard) -> list[SendSnapshot]:
+    def _on_heard(self, event: SnapshotReceived) -> list[SendSnapshot]:
         self.kept.keep(event.snapshot, event.now)
         return []
 
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -10,7 +10,7 @@
     AccountClosed,
     AccountKeeping,
     KeepingTick,
-    SnapshotHeard,
+    SnapshotReceived,
     decode_snapshot,
 )
 from lovageshunt.admission import LoadReported
@@ -144,7 +144,7 @@
     def keep_account(self, raw: bytes) -> None:
         """Keep an account; raises ``MalformedSnapshotError``."""
         snapshot = decode_snapshot(raw)
-        self._keeping.handle(SnapshotHeard(now=now(), snapshot=snapshot))
+        self._keeping.handle(SnapshotReceived(now=now(), snapshot=snapshot))
 
     async def inquired(self, question: InquiryReceived) -> InquiryAnswer:
         """Return the answer to a peer's question about a call."""
--- a/tests/account/test_keeping.py
+++ b/tests/account/test_keeping.py
@@ -20,7 +20,7 @@
     MergedAccount,
     Peer,
     Role,
-    SnapshotHeard,
+    SnapshotReceived,
     decode_snapshot,
     encode_snapshot,
     keepers_of,
@@ -104,7 +104,7 @@
             sent = self.bytes_by_node.get(sender, 0) + len(action.raw)
             self.bytes_by_node[sender] = sent
             self.keeping_by_node[action.to_node].handle(
-                SnapshotHeard(
+                SnapshotReceived(
                     now=self.now,
                     snapshot=decode_snapshot(action.raw),
                 ),
