--- a/src/lovageshunt/account/_keeping.py
+++ b/src/lovageshunt/account/_keeping.py
@@ -94,7 +94,7 @@
 KeepingEvent = KeepingTick | SnapshotReceived | AccountClosed
 
 
-class AccountKeeping:
+class AccountReplicator:
     """Send a node's account to its keepers, and keep the accounts of others.
 
     The first snapshot goes out at once, and so does one to each new keeper,
--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -5,7 +5,7 @@
 from time import time
 from typing import Final
 
-from lovageshunt.account import Account, AccountKeeping, Peer
+from lovageshunt.account import Account, AccountReplicator, Peer
 from lovageshunt.calls import ContextKey
 from lovageshunt.client import ClientOptions, Engine, Transport
 from lovageshunt.membership import new_incarnation
@@ -195,7 +195,7 @@
     def _build_meter(self) -> None:
         identity = self._identity
         self._account = Account(identity.name, identity.incarnation, time())
-        self._keeping = AccountKeeping(
+        self._keeping = AccountReplicator(
             self._account,
             Peer(
                 node=identity.name,
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -8,7 +8,7 @@
 from lovageshunt._record import Record
 from lovageshunt.account import (
     AccountClosed,
-    AccountKeeping,
+    AccountReplicator,
     KeepingTick,
     SnapshotReceived,
     decode_snapshot,
@@ -58,7 +58,7 @@
         calls: Calls,
         inquiries: Inquiries,
         target: TargetLink,
-        keeping: AccountKeeping,
+        keeping: AccountReplicator,
         pauses: Cell,
         settler: Settler,
         life: NodeLife,
--- a/tests/account/test_keeping.py
+++ b/tests/account/test_keeping.py
@@ -14,7 +14,7 @@
 from lovageshunt.account import (
     Account,
     AccountClosed,
-    AccountKeeping,
+    AccountReplicator,
     KeepingTick,
     KeptSnapshots,
     MergedAccount,
@@ -61,7 +61,7 @@
         account = Account(peer.node, peer.incarnation, self.now)
         self.peer_by_node[peer.node] = peer
         self.account_by_node[peer.node] = account
-        self.keeping_by_node[peer.node] = AccountKeeping(account, peer)
+        self.keeping_by_node[peer.node] = AccountReplicator(account, peer)
 
     def lose(self, node):
         """Take a node away without a word."""
