--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -8,7 +8,7 @@
     INTERVAL_SECONDS,
     AccountClosed,
     AccountReplicator,
-    KeepingTick,
+    ReplicationTick,
     SendSnapshot,
     SnapshotReceived,
 )
@@ -45,7 +45,7 @@
     'Difference',
     'AccountGap',
     'Imbalance',
-    'KeepingTick',
+    'ReplicationTick',
     'KeptSnapshots',
     'MergedAccount',
     'AccountKey',
--- a/src/lovageshunt/account/_keeping.py
+++ b/src/lovageshunt/account/_keeping.py
@@ -28,7 +28,7 @@
 _QUIET_SECONDS: Final = 3 * INTERVAL_SECONDS
 
 
-class KeepingTick(Record):
+class ReplicationTick(Record):
     """Time has passed; come back at least once a second.
 
     ``now`` is in seconds on a clock that never goes back, ``wall_time`` in
@@ -57,7 +57,7 @@
     __slots__ = ('now', 'snapshot')
 
     def __init__(self, *, now: float, snapshot: AccountSnapshot) -> None:
-        """Take the time, on the clock of ``KeepingTick``, and the snapshot."""
+        """Take the time, on the clock of ``ReplicationTick``, and the snapshot."""
         self.now = now
         self.snapshot = snapshot
 
@@ -74,7 +74,7 @@
         wall_time: float,
         peers: Sequence[Peer],
     ) -> None:
-        """Take both times, as in ``KeepingTick``, and the peers that stay."""
+        """Take both times, as in ``ReplicationTick``, and the peers that stay."""
         self.now = now
         self.wall_time = wall_time
         self.peers = peers
@@ -91,7 +91,7 @@
         self.raw = raw
 
 
-KeepingEvent = KeepingTick | SnapshotReceived | AccountClosed
+KeepingEvent = ReplicationTick | SnapshotReceived | AccountClosed
 
 
 class AccountReplicator:
@@ -132,7 +132,7 @@
         raise NotImplementedError(f'no handler for {type(event).__name__}')
 
     @handle.register
-    def _on_tick(self, event: KeepingTick) -> list[SendSnapshot]:
+    def _on_tick(self, event: ReplicationTick) -> list[SendSnapshot]:
         # An account too long for the rate is not begun again before it went.
         if not self._queue:
             self._fill_queue(event)
@@ -155,7 +155,7 @@
             *self._handings(event.now, event.peers),
         ]
 
-    def _fill_queue(self, event: KeepingTick) -> None:
+    def _fill_queue(self, event: ReplicationTick) -> None:
         keepers = keepers_of(self._own.node, event.peers)
         if keepers and event.now >= self._next_at:
             self._next_at = event.now + INTERVAL_SECONDS
@@ -178,7 +178,7 @@
 
     def _own_sends(
         self,
-        event: KeepingTick | AccountClosed,
+        event: ReplicationTick | AccountClosed,
         keepers: Sequence[Peer],
     ) -> list[SendSnapshot]:
         if not keepers:
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -9,7 +9,7 @@
 from lovageshunt.account import (
     AccountClosed,
     AccountReplicator,
-    KeepingTick,
+    ReplicationTick,
     SnapshotReceived,
     decode_snapshot,
 )
@@ -213,7 +213,7 @@
         if now() < self._accounts_at:
             return
         self._accounts_at = now() + _ACCOUNTS_SECONDS
-        tick = KeepingTick(
+        tick = ReplicationTick(
             now=now(),
             wall_time=time(),
             peers=self._control.keeping_peers(),
--- a/tests/account/test_keeping.py
+++ b/tests/account/test_keeping.py
@@ -15,10 +15,10 @@
     Account,
     AccountClosed,
     AccountReplicator,
-    KeepingTick,
     KeptSnapshots,
     MergedAccount,
     Peer,
+    ReplicationTick,
     Role,
     SnapshotReceived,
     decode_snapshot,
@@ -91,7 +91,7 @@
         for _ in range(seconds):
             self.now += 1
             for node, keeping in list(self.keeping_by_node.items()):
-                tick = KeepingTick(
+                tick = ReplicationTick(
                     now=self.now,
                     wall_time=self.now,
                     peers=self.others(node),
