--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -12,7 +12,7 @@
     SendSnapshot,
     SnapshotReceived,
 )
-from lovageshunt.account._kept import KeptSnapshots
+from lovageshunt.account._kept import SnapshotStore
 from lovageshunt.account._line import (
     REQUEST_FAILED,
     AccountLine,
@@ -46,7 +46,7 @@
     'AccountGap',
     'Imbalance',
     'ReplicationTick',
-    'KeptSnapshots',
+    'SnapshotStore',
     'MergedAccount',
     'AccountKey',
     'Peer',
--- a/src/lovageshunt/account/_keeping.py
+++ b/src/lovageshunt/account/_keeping.py
@@ -8,7 +8,7 @@
 from lovageshunt._record import Record
 from lovageshunt.account._account import Account
 from lovageshunt.account._keepers import Peer, keepers_of
-from lovageshunt.account._kept import KeptSnapshots
+from lovageshunt.account._kept import SnapshotStore
 from lovageshunt.account._merge import IncarnationKey
 from lovageshunt.account._snapshot import (
     AccountKey,
@@ -117,7 +117,7 @@
 
     def __init__(self, account: Account, own: Peer) -> None:
         """Take the node's own account, and the node as its peers see it."""
-        self.kept = KeptSnapshots()
+        self.kept = SnapshotStore()
         self._account = account
         self._own = own
         self._next_at = float('-inf')
--- a/src/lovageshunt/account/_kept.py
+++ b/src/lovageshunt/account/_kept.py
@@ -43,7 +43,7 @@
         self.is_final = is_final
 
 
-class KeptSnapshots:
+class SnapshotStore:
     """A bounded memory of others' accounts; ``forgotten`` counts the dropped.
 
     The wire form is kept, because it takes a fraction of the memory.
--- a/src/lovageshunt/node/admin/_reports.py
+++ b/src/lovageshunt/node/admin/_reports.py
@@ -4,7 +4,7 @@
 from time import time
 from typing import Any
 
-from lovageshunt.account import Account, AccountSnapshot, KeptSnapshots, Role
+from lovageshunt.account import Account, AccountSnapshot, Role, SnapshotStore
 from lovageshunt.calls import LOWEST_IMPORTANCE, RANK_COUNT
 from lovageshunt.clock import now
 from lovageshunt.node.control._control import Control
@@ -24,7 +24,7 @@
         control: Control,
         gate: Gate,
         account: Account,
-        kept: KeptSnapshots,
+        kept: SnapshotStore,
         traces: Traces,
         metrics: Metrics,
         life: NodeLife,
--- a/tests/account/test_keeping.py
+++ b/tests/account/test_keeping.py
@@ -15,12 +15,12 @@
     Account,
     AccountClosed,
     AccountReplicator,
-    KeptSnapshots,
     MergedAccount,
     Peer,
     ReplicationTick,
     Role,
     SnapshotReceived,
+    SnapshotStore,
     decode_snapshot,
     encode_snapshot,
     keepers_of,
@@ -303,7 +303,7 @@
 
     def test_oldest_makes_room_and_is_counted(self):
         """More than 64 accounts are never kept, and the loss is known."""
-        kept = KeptSnapshots()
+        kept = SnapshotStore()
         for number in range(70):
             account = Account(f'n{number}', 'a', 0)
             kept.keep(account.snapshot(1), number)
@@ -314,7 +314,7 @@
 
     def test_old_ones_are_dropped(self):
         """After a day and a little an account is dropped."""
-        kept = KeptSnapshots()
+        kept = SnapshotStore()
         kept.keep(Account('n1', 'a', 0).snapshot(1), 0)
 
         kept.drop_old(27 * 3600)
