--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -2,7 +2,7 @@
 
 from lovageshunt.account._account import Account
 from lovageshunt.account._balance import Imbalance, balance
-from lovageshunt.account._keepers import KEEPER_COUNT, Peer, keepers_of
+from lovageshunt.account._keepers import REPLICA_COUNT, Peer, keepers_of
 from lovageshunt.account._keeping import (
     BYTES_PER_SECOND,
     INTERVAL_SECONDS,
@@ -34,7 +34,7 @@
 __all__ = [
     'BYTES_PER_SECOND',
     'INTERVAL_SECONDS',
-    'KEEPER_COUNT',
+    'REPLICA_COUNT',
     'REQUEST_FAILED',
     'Account',
     'AccountClosed',
--- a/src/lovageshunt/account/_keepers.py
+++ b/src/lovageshunt/account/_keepers.py
@@ -8,7 +8,7 @@
 from lovageshunt._record import Record
 
 #: Peers that keep each account.
-KEEPER_COUNT: Final = 2
+REPLICA_COUNT: Final = 2
 
 
 class Peer(Record):
@@ -47,4 +47,4 @@
         if peer.failure_domain != firsts[0].failure_domain
     ]
     others = elsewhere or ranked[1:]
-    return firsts + others[: KEEPER_COUNT - 1]
+    return firsts + others[: REPLICA_COUNT - 1]
