--- a/bench/observability.py
+++ b/bench/observability.py
@@ -19,8 +19,8 @@
 
 from lovageshunt.account import (
     BYTES_PER_SECOND,
-    INTERVAL_SECONDS,
     REPLICA_COUNT,
+    SNAPSHOT_INTERVAL_SECONDS,
     Account,
     decode_snapshot,
     encode_snapshot,
@@ -105,7 +105,9 @@
     for line in lines:
         snapshot.lines = [line]
         apart += len(encode_snapshot(snapshot))
-    rate = min(together * REPLICA_COUNT / INTERVAL_SECONDS, BYTES_PER_SECOND)
+    rate = min(
+        together * REPLICA_COUNT / SNAPSHOT_INTERVAL_SECONDS, BYTES_PER_SECOND
+    )
     return (str(line_count), str(together), str(apart), f'{rate:.0f}')
 
 
--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -5,7 +5,7 @@
 from lovageshunt.account._keepers import REPLICA_COUNT, Peer, keepers_of
 from lovageshunt.account._keeping import (
     BYTES_PER_SECOND,
-    INTERVAL_SECONDS,
+    SNAPSHOT_INTERVAL_SECONDS,
     AccountClosed,
     AccountReplicator,
     ReplicationTick,
@@ -33,7 +33,7 @@
 
 __all__ = [
     'BYTES_PER_SECOND',
-    'INTERVAL_SECONDS',
+    'SNAPSHOT_INTERVAL_SECONDS',
     'REPLICA_COUNT',
     'REQUEST_FAILED',
     'Account',
--- a/src/lovageshunt/account/_keeping.py
+++ b/src/lovageshunt/account/_keeping.py
@@ -17,7 +17,7 @@
 )
 
 #: Time between two snapshots to the keepers; a kill loses at most this much.
-INTERVAL_SECONDS: Final = 30
+SNAPSHOT_INTERVAL_SECONDS: Final = 30
 #: What keeping may send, on average; a longer account is sent less often.
 BYTES_PER_SECOND: Final = 200
 #: What was handed on is sent again after so long, in case it was lost.
@@ -25,7 +25,7 @@
 #: An account, and the life of a keeper that it was handed to.
 _Handing = tuple[AccountKey, IncarnationKey]
 #: An account that was not heard for so long belongs to a lost node.
-_QUIET_SECONDS: Final = 3 * INTERVAL_SECONDS
+_QUIET_SECONDS: Final = 3 * SNAPSHOT_INTERVAL_SECONDS
 
 
 class ReplicationTick(Record):
@@ -158,7 +158,7 @@
     def _fill_queue(self, event: ReplicationTick) -> None:
         keepers = keepers_of(self._own.node, event.peers)
         if keepers and event.now >= self._next_at:
-            self._next_at = event.now + INTERVAL_SECONDS
+            self._next_at = event.now + SNAPSHOT_INTERVAL_SECONDS
             self._forget_old(event.now)
             self._queue.extend(self._own_sends(event, keepers))
             peers = (*event.peers, self._own)
