--- a/bench/observability.py
+++ b/bench/observability.py
@@ -18,7 +18,7 @@
 from aioprometheus.collectors import Counter, Registry
 
 from lovageshunt.account import (
-    BYTES_PER_SECOND,
+    MAX_SNAPSHOT_BYTES_PER_SECOND,
     REPLICA_COUNT,
     SNAPSHOT_INTERVAL_SECONDS,
     Account,
@@ -106,7 +106,8 @@
         snapshot.lines = [line]
         apart += len(encode_snapshot(snapshot))
     rate = min(
-        together * REPLICA_COUNT / SNAPSHOT_INTERVAL_SECONDS, BYTES_PER_SECOND
+        together * REPLICA_COUNT / SNAPSHOT_INTERVAL_SECONDS,
+        MAX_SNAPSHOT_BYTES_PER_SECOND,
     )
     return (str(line_count), str(together), str(apart), f'{rate:.0f}')
 
--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -4,7 +4,7 @@
 from lovageshunt.account._balance import Imbalance, balance
 from lovageshunt.account._keepers import REPLICA_COUNT, Peer, keepers_of
 from lovageshunt.account._keeping import (
-    BYTES_PER_SECOND,
+    MAX_SNAPSHOT_BYTES_PER_SECOND,
     SNAPSHOT_INTERVAL_SECONDS,
     AccountClosed,
     AccountReplicator,
@@ -32,7 +32,7 @@
 )
 
 __all__ = [
-    'BYTES_PER_SECOND',
+    'MAX_SNAPSHOT_BYTES_PER_SECOND',
     'SNAPSHOT_INTERVAL_SECONDS',
     'REPLICA_COUNT',
     'REQUEST_FAILED',
--- a/src/lovageshunt/account/_keeping.py
+++ b/src/lovageshunt/account/_keeping.py
@@ -19,7 +19,7 @@
 #: Time between two snapshots to the keepers; a kill loses at most this much.
 SNAPSHOT_INTERVAL_SECONDS: Final = 30
 #: What keeping may send, on average; a longer account is sent less often.
-BYTES_PER_SECOND: Final = 200
+MAX_SNAPSHOT_BYTES_PER_SECOND: Final = 200
 #: What was handed on is sent again after so long, in case it was lost.
 _REPEAT_SECONDS: Final = 1800
 #: An account, and the life of a keeper that it was handed to.
@@ -101,7 +101,7 @@
     so that an incarnation that dies young is known by name. A leaver sends
     its final one and hands on what it keeps of nodes that are gone; so does
     a keeper whose fellow keeper was replaced. What is sent stays within
-    ``BYTES_PER_SECOND``.
+    ``MAX_SNAPSHOT_BYTES_PER_SECOND``.
     """
 
     __slots__ = (
@@ -139,7 +139,9 @@
         if not self._queue or event.now < self._resume_at:
             return []
         action = self._queue.popleft()
-        self._resume_at = event.now + len(action.raw) / BYTES_PER_SECOND
+        self._resume_at = (
+            event.now + len(action.raw) / MAX_SNAPSHOT_BYTES_PER_SECOND
+        )
         return [action]
 
     @handle.register
