--- a/src/lovageshunt/calls/__init__.py
+++ b/src/lovageshunt/calls/__init__.py
@@ -4,9 +4,9 @@
 from lovageshunt.calls._codec import (
     ANSWER_HEADER,
     CONTEXT_HEADER,
+    decode_and_verify_context,
     decode_answer,
     decode_context,
-    decode_known_context,
     encode_answer,
     encode_context,
 )
@@ -36,7 +36,7 @@
     'RefusalReason',
     'decode_answer',
     'decode_context',
-    'decode_known_context',
+    'decode_and_verify_context',
     'encode_answer',
     'encode_context',
     'level_of',
--- a/src/lovageshunt/calls/_codec.py
+++ b/src/lovageshunt/calls/_codec.py
@@ -65,7 +65,7 @@
     return _decode(header)[0]
 
 
-def decode_known_context(
+def decode_and_verify_context(
     header: str | bytes,
     key: ContextKey | None,
 ) -> tuple[CallContext, bool]:
--- a/src/lovageshunt/client/_inbound.py
+++ b/src/lovageshunt/client/_inbound.py
@@ -9,7 +9,7 @@
     AnswerInfo,
     Outcome,
     RefusalReason,
-    decode_known_context,
+    decode_and_verify_context,
     encode_answer,
     rank_of,
 )
@@ -177,7 +177,7 @@
     A root has the importance and the retries of the rules.
     """
     try:
-        context, is_known = decode_known_context(
+        context, is_known = decode_and_verify_context(
             inbound.headers.get(CONTEXT_HEADER, ''),
             client.engine.options.context_key,
         )
--- a/src/lovageshunt/node/serving/_border.py
+++ b/src/lovageshunt/node/serving/_border.py
@@ -16,7 +16,7 @@
     HomeNode,
     Outcome,
     RefusalReason,
-    decode_known_context,
+    decode_and_verify_context,
     rank_of,
 )
 from lovageshunt.client import Inbound
@@ -100,7 +100,7 @@
     if header is None:
         return _external(inbound, rule)
     try:
-        context, is_known = decode_known_context(header, key)
+        context, is_known = decode_and_verify_context(header, key)
     except MalformedContextError:
         return Error(RefusalReason.MALFORMED)
     if not is_known:
--- a/tests/calls/test_signing.py
+++ b/tests/calls/test_signing.py
@@ -7,8 +7,8 @@
 from lovageshunt.calls import (
     CallContext,
     ContextKey,
+    decode_and_verify_context,
     decode_context,
-    decode_known_context,
     encode_context,
 )
 from lovageshunt.errors import ContextKeyError
@@ -36,9 +36,9 @@
         """A signed context is read, and believed by holders of the key."""
         header = encode_context(context, KEY)
 
-        assert decode_known_context(header, KEY) == (context, True)
-        assert decode_known_context(header, OTHER) == (context, False)
-        assert decode_known_context(header, None) == (context, True)
+        assert decode_and_verify_context(header, KEY) == (context, True)
+        assert decode_and_verify_context(header, OTHER) == (context, False)
+        assert decode_and_verify_context(header, None) == (context, True)
         assert decode_context(header) == context
 
     @given(context=CONTEXTS, other=CONTEXTS, name=st.sampled_from(SIGNED))
@@ -68,7 +68,7 @@
         header = encode_context(context)
 
         assert 'tag' not in header
-        assert decode_known_context(header, KEY) == (context, False)
+        assert decode_and_verify_context(header, KEY) == (context, False)
 
     @pytest.mark.parametrize('secret', [b'short', b' ' * 20, b'x' * 65])
     def test_bad_key(self, secret):
