--- a/src/lovageshunt/calls/__init__.py
+++ b/src/lovageshunt/calls/__init__.py
@@ -12,9 +12,9 @@
 )
 from lovageshunt.calls._context import CallContext, HomeNode
 from lovageshunt.calls._importance import (
+    HIGHEST_IMPORTANCE,
     LOWEST_IMPORTANCE,
     RANK_COUNT,
-    TOP_IMPORTANCE,
     level_of,
     rank_of,
 )
@@ -26,7 +26,7 @@
     'CONTEXT_HEADER',
     'LOWEST_IMPORTANCE',
     'RANK_COUNT',
-    'TOP_IMPORTANCE',
+    'HIGHEST_IMPORTANCE',
     'AnswerInfo',
     'CallContext',
     'ContextKey',
--- a/src/lovageshunt/calls/_importance.py
+++ b/src/lovageshunt/calls/_importance.py
@@ -10,7 +10,7 @@
 from xxhash import xxh3_64_intdigest
 
 #: The importance that is refused last.
-TOP_IMPORTANCE: Final = 0
+HIGHEST_IMPORTANCE: Final = 0
 #: The importance that is refused first.
 LOWEST_IMPORTANCE: Final = 7
 #: How many ranks there are within one importance.
--- a/src/lovageshunt/rules/_codec.py
+++ b/src/lovageshunt/rules/_codec.py
@@ -6,7 +6,7 @@
 import orjson
 from expression import Error, Ok, Result
 
-from lovageshunt.calls import LOWEST_IMPORTANCE, TOP_IMPORTANCE
+from lovageshunt.calls import HIGHEST_IMPORTANCE, LOWEST_IMPORTANCE
 from lovageshunt.errors import MalformedRulesError
 from lovageshunt.rules._document import KindRule, RulesDocument, ServiceRules
 
@@ -109,7 +109,7 @@
     for importance in (rule.importance, *rule.importance_by_caller.values()):
         if type(importance) is not int:
             raise TypeError('importance is no whole number')
-        if not TOP_IMPORTANCE <= importance <= LOWEST_IMPORTANCE:
+        if not HIGHEST_IMPORTANCE <= importance <= LOWEST_IMPORTANCE:
             raise ValueError(f'importance {importance} is out of range')
     if rule.timeout_ms < 1 or rule.retry_bound < 0:
         raise ValueError('a timeout or retry bound is out of range')
--- a/src/lovageshunt/rules/_sheet_checks.py
+++ b/src/lovageshunt/rules/_sheet_checks.py
@@ -4,7 +4,7 @@
 from itertools import chain
 
 from lovageshunt._record import Record
-from lovageshunt.calls import LOWEST_IMPORTANCE, TOP_IMPORTANCE
+from lovageshunt.calls import HIGHEST_IMPORTANCE, LOWEST_IMPORTANCE
 from lovageshunt.rules._document import ANY_METHOD, KindRule
 from lovageshunt.rules._sheet_fault import SheetFault
 
@@ -80,7 +80,7 @@
 
 
 def _catch_alls(rules: list[NumberedRule]) -> Iterator[SheetFault]:
-    extremes = {TOP_IMPORTANCE, LOWEST_IMPORTANCE}
+    extremes = {HIGHEST_IMPORTANCE, LOWEST_IMPORTANCE}
     for numbered in rules:
         rule = numbered.rule
         is_catch_all = rule.method == ANY_METHOD and rule.path == '/'
@@ -98,7 +98,7 @@
     importances = {numbered.rule.importance for numbered in rules}
     if len(rules) < 2 or len(importances) > 1:
         return
-    if importances <= {TOP_IMPORTANCE, LOWEST_IMPORTANCE}:
+    if importances <= {HIGHEST_IMPORTANCE, LOWEST_IMPORTANCE}:
         yield SheetFault(
             row=0,
             column='importance',
--- a/src/lovageshunt/rules/_sheet_columns.py
+++ b/src/lovageshunt/rules/_sheet_columns.py
@@ -5,7 +5,7 @@
 from typing import Any, Final
 
 from lovageshunt._record import Record
-from lovageshunt.calls import LOWEST_IMPORTANCE, TOP_IMPORTANCE
+from lovageshunt.calls import HIGHEST_IMPORTANCE, LOWEST_IMPORTANCE
 from lovageshunt.rules._document import ANY_METHOD
 
 #: The largest retry bound of a chain that a sheet may ask for.
@@ -122,7 +122,7 @@
 
 _read_importance = partial(
     _read_whole,
-    low=TOP_IMPORTANCE,
+    low=HIGHEST_IMPORTANCE,
     high=LOWEST_IMPORTANCE,
 )
 
@@ -139,7 +139,7 @@
 
 
 _IMPORTANCE_RANGE: Final = (
-    f'a whole number from {TOP_IMPORTANCE} (refused last) '
+    f'a whole number from {HIGHEST_IMPORTANCE} (refused last) '
     f'to {LOWEST_IMPORTANCE} (refused first)'
 )
 
