--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -2,7 +2,7 @@
 
 from lovageshunt.account._account import Account
 from lovageshunt.account._balance import Imbalance, balance
-from lovageshunt.account._keepers import REPLICA_COUNT, Peer, keepers_of
+from lovageshunt.account._keepers import REPLICA_COUNT, AccountPeer, keepers_of
 from lovageshunt.account._keeping import (
     MAX_SNAPSHOT_BYTES_PER_SECOND,
     SNAPSHOT_INTERVAL_SECONDS,
@@ -49,7 +49,7 @@
     'SnapshotStore',
     'MergedAccount',
     'AccountKey',
-    'Peer',
+    'AccountPeer',
     'AccountSample',
     'Role',
     'SendSnapshot',
--- a/src/lovageshunt/account/_keepers.py
+++ b/src/lovageshunt/account/_keepers.py
@@ -11,7 +11,7 @@
 REPLICA_COUNT: Final = 2
 
 
-class Peer(Record):
+class AccountPeer(Record):
     """Another node, as the view of members has it."""
 
     __slots__ = ('node', 'incarnation', 'failure_domain')
@@ -29,7 +29,7 @@
         self.failure_domain = failure_domain
 
 
-def keepers_of(node: str, peers: Sequence[Peer]) -> list[Peer]:
+def keepers_of(node: str, peers: Sequence[AccountPeer]) -> list[AccountPeer]:
     """Return the peers that keep the account of ``node``.
 
     Every node that sees the same peers makes the same choice, and a peer
--- a/src/lovageshunt/account/_keeping.py
+++ b/src/lovageshunt/account/_keeping.py
@@ -7,7 +7,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.account._account import Account
-from lovageshunt.account._keepers import Peer, keepers_of
+from lovageshunt.account._keepers import AccountPeer, keepers_of
 from lovageshunt.account._kept import SnapshotStore
 from lovageshunt.account._merge import IncarnationKey
 from lovageshunt.account._snapshot import (
@@ -43,7 +43,7 @@
         *,
         now: float,
         wall_time: float,
-        peers: Sequence[Peer],
+        peers: Sequence[AccountPeer],
     ) -> None:
         """Take both times and the peers."""
         self.now = now
@@ -72,7 +72,7 @@
         *,
         now: float,
         wall_time: float,
-        peers: Sequence[Peer],
+        peers: Sequence[AccountPeer],
     ) -> None:
         """Take both times, as in ``ReplicationTick``, and the peers that stay."""
         self.now = now
@@ -115,14 +115,14 @@
         '_resume_at',
     )
 
-    def __init__(self, account: Account, own: Peer) -> None:
+    def __init__(self, account: Account, own: AccountPeer) -> None:
         """Take the node's own account, and the node as its peers see it."""
         self.kept = SnapshotStore()
         self._account = account
         self._own = own
         self._next_at = float('-inf')
         self._resume_at = float('-inf')
-        self._keepers: list[Peer] = []
+        self._keepers: list[AccountPeer] = []
         self._queue: deque[SendSnapshot] = deque()
         self._handed_at: dict[_Handing, float] = {}
 
@@ -181,7 +181,7 @@
     def _own_sends(
         self,
         event: ReplicationTick | AccountClosed,
-        keepers: Sequence[Peer],
+        keepers: Sequence[AccountPeer],
     ) -> list[SendSnapshot]:
         if not keepers:
             return []
@@ -197,7 +197,7 @@
     def _handings(
         self,
         now: float,
-        peers: Sequence[Peer],
+        peers: Sequence[AccountPeer],
     ) -> Iterator[SendSnapshot]:
         for account_key, raw in self.kept.quiet_since(now - _QUIET_SECONDS):
             for keeper in keepers_of(account_key[1], peers):
--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -5,7 +5,7 @@
 from time import time
 from typing import Final
 
-from lovageshunt.account import Account, AccountReplicator, Peer
+from lovageshunt.account import Account, AccountPeer, AccountReplicator
 from lovageshunt.calls import ContextKey
 from lovageshunt.client import ClientOptions, Engine, Transport
 from lovageshunt.membership import new_incarnation
@@ -197,7 +197,7 @@
         self._account = Account(identity.name, identity.incarnation, time())
         self._keeping = AccountReplicator(
             self._account,
-            Peer(
+            AccountPeer(
                 node=identity.name,
                 incarnation=identity.incarnation,
                 failure_domain=identity.failure_domain,
--- a/src/lovageshunt/node/control/_control.py
+++ b/src/lovageshunt/node/control/_control.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from lovageshunt._record import Record
-from lovageshunt.account import Peer, SendSnapshot
+from lovageshunt.account import AccountPeer, SendSnapshot
 from lovageshunt.client import View
 from lovageshunt.clock import now
 from lovageshunt.membership import (
@@ -131,10 +131,10 @@
             self._outbox.to(send.to_node).snapshots.append(send.raw)
         self._outbox.flush()
 
-    def keeping_peers(self) -> list[Peer]:
+    def keeping_peers(self) -> list[AccountPeer]:
         """Return the nodes that may keep accounts."""
         return [
-            Peer(
+            AccountPeer(
                 node=member.name,
                 incarnation=member.incarnation,
                 failure_domain=member.failure_domain,
--- a/tests/account/test_keeping.py
+++ b/tests/account/test_keeping.py
@@ -14,9 +14,9 @@
 from lovageshunt.account import (
     Account,
     AccountClosed,
+    AccountPeer,
     AccountReplicator,
     MergedAccount,
-    Peer,
     ReplicationTick,
     Role,
     SnapshotReceived,
@@ -35,7 +35,7 @@
 
 def peer_of(number, incarnation='a'):
     """Return a peer; neighbours are in different failure domains."""
-    return Peer(
+    return AccountPeer(
         node=f'n{number}',
         incarnation=incarnation,
         failure_domain=f'd{number % DOMAINS}',
