--- a/demo/_checks.py
+++ b/demo/_checks.py
@@ -4,7 +4,11 @@
 
 from demo._load import Ledger
 from demo._plans import DeploymentPlan
-from lovageshunt.account import MergedAccount, balance, snapshot_from_dict
+from lovageshunt.account import (
+    MergedAccount,
+    find_imbalances,
+    snapshot_from_dict,
+)
 from standins.fleet import Fleet
 
 
@@ -75,7 +79,7 @@
         body = await fleet.admin(name, '/v1/account')
         for fields in (body['account'], *body['kept']):
             snapshot = snapshot_from_dict(fields)
-            imbalances += len(balance(snapshot))
+            imbalances += len(find_imbalances(snapshot))
             account.add(snapshot)
     arrived = sum(line.arrived for line in account.lines())
     findings.check('the account balances', imbalances, f'({arrived} calls)')
--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -1,7 +1,7 @@
 """What was answered, refused, failed and wasted, and its balance."""
 
 from lovageshunt.account._account import Account
-from lovageshunt.account._balance import Imbalance, balance
+from lovageshunt.account._balance import Imbalance, find_imbalances
 from lovageshunt.account._keepers import REPLICA_COUNT, AccountPeer, keepers_of
 from lovageshunt.account._keeping import (
     MAX_SNAPSHOT_BYTES_PER_SECOND,
@@ -54,7 +54,7 @@
     'Role',
     'SendSnapshot',
     'SnapshotReceived',
-    'balance',
+    'find_imbalances',
     'causes_of',
     'decode_snapshot',
     'encode_snapshot',
--- a/src/lovageshunt/account/_balance.py
+++ b/src/lovageshunt/account/_balance.py
@@ -39,7 +39,7 @@
         self.excess = excess
 
 
-def balance(
+def find_imbalances(
     snapshot: AccountSnapshot,
     held_by_service: Mapping[str, int] | None = None,
 ) -> list[Imbalance]:
--- a/src/lovageshunt/cli/_account_report.py
+++ b/src/lovageshunt/cli/_account_report.py
@@ -15,7 +15,7 @@
     Imbalance,
     MergedAccount,
     Role,
-    balance,
+    find_imbalances,
     reconcile,
     snapshot_from_dict,
 )
@@ -50,7 +50,7 @@
         return [
             imbalance
             for snapshot in self.account.snapshots()
-            for imbalance in balance(
+            for imbalance in find_imbalances(
                 snapshot,
                 self._held_by_owner.get(snapshot.account_key),
             )
--- a/tests/account/test_account.py
+++ b/tests/account/test_account.py
@@ -3,7 +3,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from lovageshunt.account import Account, balance
+from lovageshunt.account import Account, find_imbalances
 from lovageshunt.calls import Outcome, RefusalReason
 from tests.only import only
 
@@ -47,7 +47,7 @@
         """Arrivals are the sum of all ends and of what is running."""
         snapshot = self.account.snapshot(11.0)
 
-        assert not balance(snapshot)
+        assert not find_imbalances(snapshot)
         assert sum(line.ended for line in snapshot.lines) == self.ended
         running = sum(line.running for line in snapshot.lines)
         assert running == len(self.running)
@@ -65,7 +65,7 @@
 
         account.ended('balances', 'lookup', 1, Outcome.ANSWERED)
 
-        imbalance = only(balance(account.snapshot(1.0)))
+        imbalance = only(find_imbalances(account.snapshot(1.0)))
         assert imbalance.law == 'running >= 0'
         assert imbalance.excess == 1
 
@@ -75,10 +75,10 @@
         account.arrived('balances', 'lookup', 1)
         snapshot = account.snapshot(1)
 
-        imbalance = only(balance(snapshot, {'balances': 0}))
+        imbalance = only(find_imbalances(snapshot, {'balances': 0}))
 
         assert imbalance.excess == 1
-        assert not balance(snapshot, {'balances': 1})
+        assert not find_imbalances(snapshot, {'balances': 1})
 
     def test_waste_is_counted_by_reason(self):
         """A cancelled call that ran is wasted because it was cancelled."""
