--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -2,7 +2,11 @@
 
 from lovageshunt.account._account import Account
 from lovageshunt.account._balance import Imbalance, find_imbalances
-from lovageshunt.account._keepers import REPLICA_COUNT, AccountPeer, keepers_of
+from lovageshunt.account._keepers import (
+    REPLICA_COUNT,
+    AccountPeer,
+    replica_peers,
+)
 from lovageshunt.account._keeping import (
     MAX_SNAPSHOT_BYTES_PER_SECOND,
     SNAPSHOT_INTERVAL_SECONDS,
@@ -58,7 +62,7 @@
     'causes_of',
     'decode_snapshot',
     'encode_snapshot',
-    'keepers_of',
+    'replica_peers',
     'reconcile',
     'snapshot_from_dict',
     'total_of',
--- a/src/lovageshunt/account/_keepers.py
+++ b/src/lovageshunt/account/_keepers.py
@@ -29,7 +29,7 @@
         self.failure_domain = failure_domain
 
 
-def keepers_of(node: str, peers: Sequence[AccountPeer]) -> list[AccountPeer]:
+def replica_peers(node: str, peers: Sequence[AccountPeer]) -> list[AccountPeer]:
     """Return the peers that keep the account of ``node``.
 
     Every node that sees the same peers makes the same choice, and a peer
--- a/src/lovageshunt/account/_keeping.py
+++ b/src/lovageshunt/account/_keeping.py
@@ -7,7 +7,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.account._account import Account
-from lovageshunt.account._keepers import AccountPeer, keepers_of
+from lovageshunt.account._keepers import AccountPeer, replica_peers
 from lovageshunt.account._kept import SnapshotStore
 from lovageshunt.account._merge import IncarnationKey
 from lovageshunt.account._snapshot import (
@@ -151,14 +151,14 @@
 
     @handle.register
     def _on_closed(self, event: AccountClosed) -> list[SendSnapshot]:
-        keepers = keepers_of(self._own.node, event.peers)
+        keepers = replica_peers(self._own.node, event.peers)
         return [
             *self._own_sends(event, keepers),
             *self._handings(event.now, event.peers),
         ]
 
     def _fill_queue(self, event: ReplicationTick) -> None:
-        keepers = keepers_of(self._own.node, event.peers)
+        keepers = replica_peers(self._own.node, event.peers)
         if keepers and event.now >= self._next_at:
             self._next_at = event.now + SNAPSHOT_INTERVAL_SECONDS
             self._forget_old(event.now)
@@ -200,7 +200,7 @@
         peers: Sequence[AccountPeer],
     ) -> Iterator[SendSnapshot]:
         for account_key, raw in self.kept.quiet_since(now - _QUIET_SECONDS):
-            for keeper in keepers_of(account_key[1], peers):
+            for keeper in replica_peers(account_key[1], peers):
                 handing = (account_key, (keeper.node, keeper.incarnation))
                 is_own = keeper.node == self._own.node
                 if is_own or handing in self._handed_at:
--- a/tests/account/test_keeping.py
+++ b/tests/account/test_keeping.py
@@ -23,7 +23,7 @@
     SnapshotStore,
     decode_snapshot,
     encode_snapshot,
-    keepers_of,
+    replica_peers,
 )
 from lovageshunt.calls import Outcome
 from tests.only import only
@@ -232,7 +232,7 @@
         """An account handed on in vain is handed on again half an hour on."""
         fleet = fleet_of(5)
         fleet.lose('n0')
-        keeper = keepers_of('n0', list(fleet.peer_by_node.values()))[0].node
+        keeper = replica_peers('n0', list(fleet.peer_by_node.values()))[0].node
         fleet.lose(keeper)
         fleet.start(int(keeper.removeprefix('n')))
         fleet.is_cut = True
@@ -279,10 +279,10 @@
     def test_other_choices_stay(self, count, gone):
         """A peer that goes changes only the choices it was part of."""
         peers = [peer_of(number) for number in range(count)]
-        before = keepers_of('x', peers)
+        before = replica_peers('x', peers)
         left = [peer for peer in peers if peer.node != f'n{gone}']
 
-        after = keepers_of('x', left)
+        after = replica_peers('x', left)
 
         kept = [peer for peer in before if peer.node != f'n{gone}']
         assert all(peer in after for peer in kept[:1])
@@ -293,7 +293,7 @@
         """The loss of one failure domain leaves a keeper."""
         peers = [peer_of(number) for number in range(count)]
 
-        keepers = keepers_of('x', peers)
+        keepers = replica_peers('x', peers)
 
         assert len({keeper.failure_domain for keeper in keepers}) == 2
 
