--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -22,7 +22,7 @@
     AccountLine,
     Cause,
     causes_of,
-    total_of,
+    sum_by_key,
 )
 from lovageshunt.account._merge import AccountGap, MergedAccount
 from lovageshunt.account._reconcile import AccountSample, Difference, reconcile
@@ -65,5 +65,5 @@
     'replica_peers',
     'reconcile',
     'snapshot_from_dict',
-    'total_of',
+    'sum_by_key',
 ]
--- a/src/lovageshunt/account/_line.py
+++ b/src/lovageshunt/account/_line.py
@@ -124,7 +124,7 @@
     return AccountLine(service=service, kind=kind, importance=importance)
 
 
-def total_of(lines: Iterable[AccountLine]) -> list[AccountLine]:
+def sum_by_key(lines: Iterable[AccountLine]) -> list[AccountLine]:
     """Return one line for each key, its counters summed, ordered by key."""
     total_by_key: dict[LineKey, AccountLine] = {}
     for line in lines:
--- a/src/lovageshunt/account/_merge.py
+++ b/src/lovageshunt/account/_merge.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from lovageshunt._record import Record
-from lovageshunt.account._line import AccountLine, total_of
+from lovageshunt.account._line import AccountLine, sum_by_key
 from lovageshunt.account._snapshot import (
     AccountKey,
     AccountSnapshot,
@@ -74,7 +74,7 @@
 
     def lines(self, role: Role = Role.NODE) -> list[AccountLine]:
         """Return the sums over all accounts of one role, ordered by key."""
-        return total_of(
+        return sum_by_key(
             line
             for snapshot in self.snapshots()
             if snapshot.role is role
--- a/src/lovageshunt/account/_reconcile.py
+++ b/src/lovageshunt/account/_reconcile.py
@@ -8,7 +8,7 @@
     AccountLine,
     LineKey,
     line_of,
-    total_of,
+    sum_by_key,
 )
 
 
@@ -74,8 +74,8 @@
         nodes_taken_at: float = -inf,
     ) -> None:
         """Sum the lines of each side by key."""
-        self.callers = {line.key: line for line in total_of(callers)}
-        self.nodes = {line.key: line for line in total_of(nodes)}
+        self.callers = {line.key: line for line in sum_by_key(callers)}
+        self.nodes = {line.key: line for line in sum_by_key(nodes)}
         self.services_with_gaps = services_with_gaps
         self.callers_taken_at = callers_taken_at
         self.nodes_taken_at = nodes_taken_at
