--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -2,12 +2,21 @@
 
 from lovageshunt.account._account import Account
 from lovageshunt.account._balance import Imbalance, find_imbalances
-from lovageshunt.account._keepers import (
+from lovageshunt.account._line import (
+    REQUEST_FAILED,
+    AccountLine,
+    Cause,
+    causes_of,
+    sum_by_key,
+)
+from lovageshunt.account._merge import AccountGap, MergedAccount
+from lovageshunt.account._reconcile import AccountSample, Difference, reconcile
+from lovageshunt.account._replica_peers import (
     REPLICA_COUNT,
     AccountPeer,
     replica_peers,
 )
-from lovageshunt.account._keeping import (
+from lovageshunt.account._replication import (
     MAX_SNAPSHOT_BYTES_PER_SECOND,
     SNAPSHOT_INTERVAL_SECONDS,
     AccountClosed,
@@ -16,16 +25,6 @@
     SendSnapshot,
     SnapshotReceived,
 )
-from lovageshunt.account._kept import SnapshotStore
-from lovageshunt.account._line import (
-    REQUEST_FAILED,
-    AccountLine,
-    Cause,
-    causes_of,
-    sum_by_key,
-)
-from lovageshunt.account._merge import AccountGap, MergedAccount
-from lovageshunt.account._reconcile import AccountSample, Difference, reconcile
 from lovageshunt.account._snapshot import (
     AccountKey,
     AccountSnapshot,
@@ -34,6 +33,7 @@
     encode_snapshot,
     snapshot_from_dict,
 )
+from lovageshunt.account._snapshot_store import SnapshotStore
 
 __all__ = [
     'MAX_SNAPSHOT_BYTES_PER_SECOND',
--- a/src/lovageshunt/account/_keeping.py
+++ b/src/lovageshunt/account/_replication.py
@@ -7,14 +7,14 @@
 
 from lovageshunt._record import Record
 from lovageshunt.account._account import Account
-from lovageshunt.account._keepers import AccountPeer, replica_peers
-from lovageshunt.account._kept import SnapshotStore
 from lovageshunt.account._merge import IncarnationKey
+from lovageshunt.account._replica_peers import AccountPeer, replica_peers
 from lovageshunt.account._snapshot import (
     AccountKey,
     AccountSnapshot,
     encode_snapshot,
 )
+from lovageshunt.account._snapshot_store import SnapshotStore
 
 #: Time between two snapshots to the keepers; a kill loses at most this much.
 SNAPSHOT_INTERVAL_SECONDS: Final = 30
