--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -1,4 +1,4 @@
-"""What was answered, refused, failed and wasted, and its balance."""
+"""Call accounting: counters by outcome, their replication and checks."""
 
 from lovageshunt.account._account import Account
 from lovageshunt.account._balance import Imbalance, find_imbalances
@@ -37,33 +37,33 @@
 
 __all__ = [
     'MAX_SNAPSHOT_BYTES_PER_SECOND',
-    'SNAPSHOT_INTERVAL_SECONDS',
     'REPLICA_COUNT',
     'REQUEST_FAILED',
+    'SNAPSHOT_INTERVAL_SECONDS',
     'Account',
     'AccountClosed',
-    'AccountReplicator',
+    'AccountGap',
+    'AccountKey',
     'AccountLine',
+    'AccountPeer',
+    'AccountReplicator',
+    'AccountSample',
     'AccountSnapshot',
     'Cause',
     'Difference',
-    'AccountGap',
     'Imbalance',
-    'ReplicationTick',
-    'SnapshotStore',
     'MergedAccount',
-    'AccountKey',
-    'AccountPeer',
-    'AccountSample',
+    'ReplicationTick',
     'Role',
     'SendSnapshot',
     'SnapshotReceived',
-    'find_imbalances',
+    'SnapshotStore',
     'causes_of',
     'decode_snapshot',
     'encode_snapshot',
-    'replica_peers',
+    'find_imbalances',
     'reconcile',
+    'replica_peers',
     'snapshot_from_dict',
     'sum_by_key',
 ]
--- a/src/lovageshunt/account/_account.py
+++ b/src/lovageshunt/account/_account.py
@@ -1,4 +1,4 @@
-"""The counters that one node or one caller keeps."""
+"""The call counters of one node or one caller."""
 
 from typing import Final
 
@@ -11,22 +11,24 @@
 from lovageshunt.account._snapshot import AccountSnapshot, Role
 from lovageshunt.calls import Outcome, RefusalReason
 
-#: Lines beyond these are counted under ``OTHER_KIND``.
+#: Maximum number of lines; further ones are merged under ``OTHER_KIND``.
+#: It bounds memory when callers send arbitrary kinds.
 MAX_LINES: Final = 256
-#: The kind under which calls are counted once the account is full.
+#: Service and kind of the calls counted after ``MAX_LINES`` is reached.
 OTHER_KIND: Final = '(other)'
-#: The reason of a call that ended without one.
+#: The reason counted for a call that ended without one.
 UNNAMED_REASON: Final = 'unnamed'
-#: Why an answer was wasted that nobody gave a reason for.
-_LATE: Final = 'late'
+#: The reason counted for a wasted answer when none was given.
+_LATE_ANSWER: Final = 'late'
 
 
 class Account:
-    """Count every call once when it arrives and once when it ends.
+    """Counts each call once on arrival and once at its end.
 
-    ``node`` names the node, or the caller when ``role`` says so, and
-    ``incarnation`` this life of it. ``started_at`` and every ``now`` are
-    seconds of a clock that other machines' clocks roughly agree with.
+    ``node`` is the name of the node, or of the caller if ``role`` is
+    ``CALLER``; ``incarnation`` identifies this run of its process.
+    ``started_at`` and every ``now`` are wall-clock seconds, assumed to be
+    roughly synchronised across VMs.
     """
 
     __slots__ = (
@@ -46,7 +48,6 @@
         *,
         role: Role = Role.NODE,
     ) -> None:
-        """Start with no lines."""
         self._node = node
         self._incarnation = incarnation
         self._started_at = started_at
@@ -63,9 +64,9 @@
         is_retry: bool = False,
         is_external: bool = False,
     ) -> None:
-        """Count a call that arrived, or an attempt that a caller begins.
+        """Count a call received by a node, or an attempt started by a caller.
 
-        ``is_external`` marks a call whose caller keeps no account.
+        ``is_external`` marks a call whose caller does not report an account.
         """
         line = self._line(service, kind, importance)
         line.arrived += 1
@@ -83,10 +84,11 @@
         was_wasted: bool = False,
         ran: bool = False,
     ) -> None:
-        """Count the end of a call that arrived.
+        """Count the end of a call that was counted by ``arrived``.
 
-        ``ran`` says that the call was dispatched: by a node to its target,
-        by a caller to a node. ``was_wasted`` says that it ran for nobody.
+        ``ran`` means that the call was dispatched: by a node to its target,
+        by a caller to a node. ``was_wasted`` means that it was executed but
+        its result was not used.
         """
         line = self._line(service, kind, importance)
         line.running -= 1
@@ -94,9 +96,9 @@
         if outcome is Outcome.ANSWERED:
             line.answered += 1
         else:
-            _count(_ends_of(line, outcome), reason or UNNAMED_REASON)
+            _count(_counts_by_reason(line, outcome), reason or UNNAMED_REASON)
         if was_wasted:
-            _count(line.wasted_by_reason, reason or _LATE)
+            _count(line.wasted_by_reason, reason or _LATE_ANSWER)
 
     def wasted(
         self,
@@ -105,16 +107,16 @@
         importance: int,
         count: int = 1,
     ) -> None:
-        """Count answered calls whose request failed after their answers."""
+        """Count answered calls whose root request failed afterwards."""
         line = self._line(service, kind, importance)
         _count(line.wasted_by_reason, REQUEST_FAILED, count)
 
     def snapshot(
         self, now: float, *, is_final: bool = False
     ) -> AccountSnapshot:
-        """Return the counters so far, with a sequence above all earlier.
+        """Return a copy of the counters, with the next sequence number.
 
-        ``is_final`` says that nothing will be counted after it.
+        ``is_final`` means that no further calls will be counted.
         """
         self._sequence += 1
         lines = [self._line_by_key[key] for key in sorted(self._line_by_key)]
@@ -148,7 +150,7 @@
         return line
 
 
-def _ends_of(line: AccountLine, outcome: Outcome) -> dict[str, int]:
+def _counts_by_reason(line: AccountLine, outcome: Outcome) -> dict[str, int]:
     if outcome is Outcome.NOT_RUN:
         return line.refused_by_reason
     if outcome is Outcome.FAILED:
@@ -160,5 +162,5 @@
     count_by_reason: dict[str, int], reason: str, count: int = 1
 ) -> None:
     name = str(reason)
-    so_far = count_by_reason.get(name, 0)
-    count_by_reason[name] = so_far + count
+    previous = count_by_reason.get(name, 0)
+    count_by_reason[name] = previous + count
--- a/src/lovageshunt/account/_balance.py
+++ b/src/lovageshunt/account/_balance.py
@@ -1,4 +1,4 @@
-"""The check that every call that arrived is accounted for."""
+"""Consistency check: every call that arrived is accounted for."""
 
 from collections.abc import Iterator, Mapping
 from typing import Final
@@ -7,15 +7,17 @@
 from lovageshunt.account._line import AccountLine
 from lovageshunt.account._snapshot import AccountSnapshot
 
-#: The kind and importance of an imbalance that is of a whole service.
+#: Kind and importance of an imbalance that concerns an entire service.
 _ALL_KINDS: Final = '(all)'
 _ALL_IMPORTANCES: Final = -1
 
 
 class Imbalance(Record):
-    """A line that breaks a law of the account, and by how many calls.
+    """An account line that violates an invariant of the counters.
 
-    ``law`` names the equation or inequality in the terms of the counters.
+    ``law`` is the violated equation or inequality, written with the names of
+    the counters; ``excess`` is the deviation in calls. For an imbalance of an
+    entire service ``kind`` is ``(all)`` and ``importance`` -1.
     """
 
     __slots__ = ('node', 'service', 'kind', 'importance', 'law', 'excess')
@@ -30,7 +32,6 @@
         law: str,
         excess: int,
     ) -> None:
-        """Take the line's key, the law and the calls too many."""
         self.node = node
         self.service = service
         self.kind = kind
@@ -43,11 +44,11 @@
     snapshot: AccountSnapshot,
     held_by_service: Mapping[str, int] | None = None,
 ) -> list[Imbalance]:
-    """Return what does not balance in a snapshot; empty when all does.
+    """Return the violated invariants of a snapshot, empty if there are none.
 
-    ``held_by_service`` counts the calls that admission holds, waiting and
-    running, at the same moment; with it a call whose end was never counted
-    shows, too.
+    ``held_by_service`` is the number of calls that admission holds, queued
+    and running, at the same moment. It makes calls detectable whose end was
+    never counted.
     """
     by_line = [
         Imbalance(
@@ -68,15 +69,15 @@
             kind=_ALL_KINDS,
             importance=_ALL_IMPORTANCES,
             law='running = held by admission',
-            excess=_running_of(snapshot, service) - held,
+            excess=_running_calls(snapshot, service) - held,
         )
         for service, held in (held_by_service or {}).items()
-        if _running_of(snapshot, service) != held
+        if _running_calls(snapshot, service) != held
     ]
     return by_line + by_service
 
 
-def _running_of(snapshot: AccountSnapshot, service: str) -> int:
+def _running_calls(snapshot: AccountSnapshot, service: str) -> int:
     lines = [line for line in snapshot.lines if line.service == service]
     return sum(line.running for line in lines)
 
--- a/src/lovageshunt/account/_line.py
+++ b/src/lovageshunt/account/_line.py
@@ -1,14 +1,14 @@
-"""One line of an account: the counters of one service, kind and importance."""
+"""An account line: the counters of one service, call kind and importance."""
 
 from collections.abc import Iterable
 from typing import Any, Final
 
 from lovageshunt._record import Record
 
-#: Why an answer was wasted that arrived in time: its request failed later.
+#: Waste reason of an answer that arrived in time but whose request failed.
 REQUEST_FAILED: Final = 'request_failed'
 
-#: What names a line: service, kind and importance.
+#: The identity of a line: service, kind and importance.
 LineKey = tuple[str, str, int]
 
 COUNT_FIELDS: Final = (
@@ -26,19 +26,20 @@
     'wasted_by_reason',
 )
 
-_BY_REASON: Final = '_by_reason'
+_BY_REASON_SUFFIX: Final = '_by_reason'
 
 
 class AccountLine(Record):
     """Cumulative counters of calls of one service, kind and importance.
 
-    A node counts the calls that arrived at it, a caller the attempts that it
-    made. ``retries`` of them were not the first attempt, and ``external``
-    came from callers that keep no account. ``dispatched`` were sent on: a
-    node's to its target, a caller's to a node. Each ends in one of
+    A node counts the calls that ``arrived`` at it, a caller the attempts that
+    it made. ``retries`` of them were not the first attempt, and ``external``
+    came from callers that report no account. ``dispatched`` were sent on: by
+    a node to its target, by a caller to a node. Each ends in one of
     ``answered``, ``refused_by_reason`` (not run), ``failed_by_reason`` and
-    ``unknown_by_reason``, or is ``running``. ``wasted_by_reason`` counts the
-    dispatched ones whose work served nobody.
+    ``unknown_by_reason``, or is still ``running``. ``wasted_by_reason``
+    counts the dispatched ones whose result was not used. Counters that are
+    not given are 0 or empty; an unknown one raises ``TypeError``.
     """
 
     __slots__ = ('service', 'kind', 'importance', *COUNT_FIELDS, *REASON_FIELDS)
@@ -65,7 +66,6 @@
         importance: int,
         **counts: Any,
     ) -> None:
-        """Take the key and any of the counters; the others are 0 or empty."""
         self.service = service
         self.kind = kind
         self.importance = importance
@@ -74,40 +74,40 @@
         for name in REASON_FIELDS:
             setattr(self, name, dict(counts.pop(name, ())))
         if counts:
-            raise TypeError(f'no counter is named {sorted(counts)[0]!r}')
+            raise TypeError(f'unknown counter {sorted(counts)[0]!r}')
 
     @property
     def key(self) -> LineKey:
-        """Return what names this line."""
+        """Return service, kind and importance."""
         return (self.service, self.kind, self.importance)
 
     @property
     def refused(self) -> int:
-        """Return how many calls were refused, not run."""
+        """Return the number of calls refused without being run."""
         return sum(self.refused_by_reason.values())
 
     @property
     def failed(self) -> int:
-        """Return how many calls failed after some of them ran."""
+        """Return the number of calls that failed after partial execution."""
         return sum(self.failed_by_reason.values())
 
     @property
     def unknown(self) -> int:
-        """Return how many calls ended with no certain outcome."""
+        """Return the number of calls whose outcome is not known."""
         return sum(self.unknown_by_reason.values())
 
     @property
     def wasted(self) -> int:
-        """Return how many dispatched calls served nobody."""
+        """Return the number of dispatched calls whose result was not used."""
         return sum(self.wasted_by_reason.values())
 
     @property
     def ended(self) -> int:
-        """Return how many calls have ended, whatever their outcome."""
+        """Return the number of calls that ended, with any outcome."""
         return self.answered + self.refused + self.failed + self.unknown
 
     def copy(self) -> 'AccountLine':
-        """Return a line that shares no counter with this one."""
+        """Return a deep copy of the line."""
         return AccountLine(**self.as_dict())
 
     def add(self, other: 'AccountLine') -> None:
@@ -119,13 +119,13 @@
 
 
 def line_of(key: LineKey) -> AccountLine:
-    """Return an empty line of that key."""
+    """Return a line of a key with all counters 0."""
     service, kind, importance = key
     return AccountLine(service=service, kind=kind, importance=importance)
 
 
 def sum_by_key(lines: Iterable[AccountLine]) -> list[AccountLine]:
-    """Return one line for each key, its counters summed, ordered by key."""
+    """Return the lines summed by key, in the order of the keys."""
     total_by_key: dict[LineKey, AccountLine] = {}
     for line in lines:
         total = total_by_key.get(line.key)
@@ -137,7 +137,7 @@
 
 
 class Cause(Record):
-    """How many calls of a line ended so, and why.
+    """The number of ``calls`` of a line that ended for one reason.
 
     ``end`` is one of *refused*, *failed*, *unknown* and *wasted*.
     """
@@ -145,16 +145,17 @@
     __slots__ = ('end', 'reason', 'calls')
 
     def __init__(self, *, end: str, reason: str, calls: int) -> None:
-        """Take every field by name."""
         self.end = end
         self.reason = reason
         self.calls = calls
 
 
 def causes_of(line: AccountLine) -> list[Cause]:
-    """Return why calls of a line were not answered, or answered in vain."""
+    """Return a line's counts of unanswered and wasted calls, by reason."""
     return [
-        Cause(end=name.removesuffix(_BY_REASON), reason=reason, calls=calls)
+        Cause(
+            end=name.removesuffix(_BY_REASON_SUFFIX), reason=reason, calls=calls
+        )
         for name in REASON_FIELDS
         for reason, calls in sorted(getattr(line, name).items())
     ]
--- a/src/lovageshunt/account/_merge.py
+++ b/src/lovageshunt/account/_merge.py
@@ -1,4 +1,4 @@
-"""The account of many nodes, with the holes that lost VMs leave."""
+"""The merged accounts of many nodes, and the gaps left by lost VMs."""
 
 from collections.abc import Collection, Iterable
 from typing import Any
@@ -12,15 +12,16 @@
     encode_snapshot,
 )
 
-#: A node and one life of it.
+#: A node and one of its incarnations.
 IncarnationKey = tuple[str, str]
 
 
 class AccountGap(Record):
-    """A time for which nobody has the counters of an incarnation.
+    """A period for which the counters of an incarnation are lost.
 
-    From the last snapshot (``from_at``) to the start of the replacement, or
-    to the moment of asking when there is none (``to_at``), in seconds.
+    ``from_at`` is the time of its last snapshot, ``to_at`` the start of its
+    replacement or, if there is none, the time of the query; both in seconds
+    since 1970. ``services`` are those that the incarnation served.
     """
 
     __slots__ = ('node', 'incarnation', 'services', 'from_at', 'to_at')
@@ -34,7 +35,6 @@
         from_at: float,
         to_at: float,
     ) -> None:
-        """Name the incarnation, what it served and the two ends."""
         self.node = node
         self.incarnation = incarnation
         self.services = services
@@ -43,37 +43,36 @@
 
 
 class MergedAccount:
-    """Hold the newest snapshot of each incarnation.
+    """Merges snapshots, keeping the newest of each incarnation.
 
-    The order in which snapshots come, and how often, makes no difference.
+    Merging is commutative, associative and idempotent.
     """
 
     __slots__ = ('_newest_by_owner',)
 
     def __init__(self, snapshots: Iterable[AccountSnapshot] = ()) -> None:
-        """Take in the snapshots, if any."""
         self._newest_by_owner: dict[AccountKey, AccountSnapshot] = {}
         for snapshot in snapshots:
             self.add(snapshot)
 
     def add(self, snapshot: AccountSnapshot) -> None:
-        """Take in a snapshot, unless a newer one of its life is held."""
-        held = self._newest_by_owner.get(snapshot.account_key)
-        if held is None or _age_order(held) < _age_order(snapshot):
+        """Add a snapshot unless a newer one of its incarnation is present."""
+        stored = self._newest_by_owner.get(snapshot.account_key)
+        if stored is None or _recency(stored) < _recency(snapshot):
             self._newest_by_owner[snapshot.account_key] = snapshot
 
     def merge(self, other: 'MergedAccount') -> None:
-        """Take in all that another merged account holds."""
+        """Add all snapshots of another merged account."""
         for snapshot in other.snapshots():
             self.add(snapshot)
 
     def snapshots(self) -> list[AccountSnapshot]:
-        """Return the newest snapshots, by role, node and incarnation."""
+        """Return the newest snapshots, ordered by role, node, incarnation."""
         newest = self._newest_by_owner
         return [newest[key] for key in sorted(newest)]
 
     def lines(self, role: Role = Role.NODE) -> list[AccountLine]:
-        """Return the sums over all accounts of one role, ordered by key."""
+        """Return the lines of all accounts of one role, summed by key."""
         return sum_by_key(
             line
             for snapshot in self.snapshots()
@@ -82,7 +81,7 @@
         )
 
     def taken_at(self, role: Role) -> list[float]:
-        """Return when the accounts of one role were taken, but final ones."""
+        """Return the times of the snapshots of a role that are not final."""
         return [
             snapshot.taken_at
             for snapshot in self.snapshots()
@@ -94,10 +93,11 @@
         now: float,
         live: Collection[IncarnationKey],
     ) -> list[AccountGap]:
-        """Return the holes, given the incarnations that answer ``now``.
+        """Return the gaps, given the incarnations that are ``live``.
 
-        An incarnation that is neither live nor has handed over its final
-        snapshot leaves one. What a lost caller saw is in no account.
+        A node's incarnation that is not live and left no final snapshot
+        leaves a gap up to its replacement's start, or else up to ``now``.
+        Lost callers leave no gap: what they did not report is in no account.
         """
         return [
             AccountGap(
@@ -105,7 +105,7 @@
                 incarnation=snapshot.incarnation,
                 services=sorted({line.service for line in snapshot.lines}),
                 from_at=snapshot.taken_at,
-                to_at=self._replaced_at(snapshot, now),
+                to_at=self._gap_end(snapshot, now),
             )
             for snapshot in self.snapshots()
             if snapshot.role is Role.NODE
@@ -113,18 +113,18 @@
             and (snapshot.node, snapshot.incarnation) not in live
         ]
 
-    def _replaced_at(self, lost: AccountSnapshot, now: float) -> float:
-        starts = [
+    def _gap_end(self, lost: AccountSnapshot, now: float) -> float:
+        replacement_starts = [
             snapshot.started_at
             for snapshot in self.snapshots()
             if snapshot.role is lost.role
             and snapshot.node == lost.node
             and snapshot.started_at >= lost.taken_at
         ]
-        return min(starts, default=now)
+        return min(replacement_starts, default=now)
 
 
-def _age_order(snapshot: AccountSnapshot) -> tuple[Any, ...]:
+def _recency(snapshot: AccountSnapshot) -> tuple[Any, ...]:
     return (
         snapshot.sequence,
         snapshot.is_final,
--- a/src/lovageshunt/account/_reconcile.py
+++ b/src/lovageshunt/account/_reconcile.py
@@ -1,4 +1,4 @@
-"""The check of callers' figures against nodes' figures."""
+"""Reconciliation of the counters of callers with those of nodes."""
 
 from collections.abc import Collection, Iterable, Iterator
 from math import inf
@@ -13,10 +13,11 @@
 
 
 class Difference(Record):
-    """A claim that callers' and nodes' figures break, and by how many calls.
+    """An expected relation that the counters of callers and nodes violate.
 
-    ``is_explained`` says that figures which are missing may be why: a hole
-    in the nodes' account, or callers that have not reported since.
+    ``claim`` is the relation and ``excess`` the deviation in calls.
+    ``is_explained`` means that missing data may be the cause: a gap in the
+    nodes' accounts, or callers that have not reported since.
     """
 
     __slots__ = (
@@ -38,7 +39,6 @@
         excess: int,
         is_explained: bool = False,
     ) -> None:
-        """Take the line's key, the claim and the calls too many."""
         self.service = service
         self.kind = kind
         self.importance = importance
@@ -48,12 +48,12 @@
 
 
 class AccountSample(Record):
-    """The lines of callers and of nodes, taken at about one moment.
+    """The lines of callers and nodes at about one time, summed by key.
 
-    ``services_with_gaps`` are those with a hole in the nodes' account. Callers
-    report from time to time: ``callers_taken_at`` is when the least recent
-    of their accounts was taken, and ``nodes_taken_at`` when the most recent
-    of the nodes' was, in seconds since 1970.
+    ``services_with_gaps`` are those with a gap in the nodes' accounts.
+    Callers report periodically: ``callers_taken_at`` is the time of their
+    oldest account and ``nodes_taken_at`` that of the nodes' newest, both in
+    seconds since 1970.
     """
 
     __slots__ = (
@@ -73,7 +73,6 @@
         callers_taken_at: float = inf,
         nodes_taken_at: float = -inf,
     ) -> None:
-        """Sum the lines of each side by key."""
         self.callers = {line.key: line for line in sum_by_key(callers)}
         self.nodes = {line.key: line for line in sum_by_key(nodes)}
         self.services_with_gaps = services_with_gaps
@@ -81,15 +80,15 @@
         self.nodes_taken_at = nodes_taken_at
 
     def has_callers_of(self, service: str) -> bool:
-        """Return whether any caller has reported calls to a service."""
+        """Return whether any caller reported calls to a service."""
         return any(key[0] == service for key in self.callers)
 
     def caller(self, key: LineKey) -> AccountLine:
-        """Return the callers' line, empty when they have none."""
+        """Return the callers' line of a key, all 0 if there is none."""
         return self.callers.get(key) or line_of(key)
 
     def node(self, key: LineKey) -> AccountLine:
-        """Return the nodes' line, empty when they have none."""
+        """Return the nodes' line of a key, all 0 if there is none."""
         return self.nodes.get(key) or line_of(key)
 
 
@@ -97,19 +96,20 @@
     first: AccountSample,
     second: AccountSample | None = None,
 ) -> list[Difference]:
-    """Return where callers' figures contradict nodes' figures.
-
-    While calls are on their way one reading cannot be at one moment on both
-    sides, so two are compared crosswise: of each claim the side that may
-    not be the greater is taken from the first. Without traffic one will do.
-    Callers without an account are counted by nodes as external. Then, for
-    each line:
-
-    - what callers were answered, nodes answered;
-    - what callers were told is not run after sending it, nodes refused;
-    - what arrived at nodes, callers sent;
-    - what nodes answered and no caller had, callers call unknown or failed,
-      or still wait for.
+    """Return the violated relations between callers' and nodes' counters.
+
+    With calls in transit, one sample cannot cover both sides at the same
+    time, so two are compared: in each relation the side that must not be the
+    greater is read from the first sample, the other from the second. Without
+    traffic one sample is enough. Nodes count the calls of callers that have
+    no account as external. For each line:
+
+    - callers' answered calls are at most the nodes' answered calls;
+    - calls that callers dispatched and got back as not run are at most those
+      that nodes refused;
+    - calls that arrived at nodes are at most those that callers sent;
+    - calls answered by nodes are at most those that callers count as
+      answered, unknown, failed or running.
     """
     second = second or first
     return [
@@ -126,22 +126,22 @@
     second: AccountSample,
 ) -> list[Difference]:
     service = key[0]
-    # A hole hides calls of nodes, so nodes' figures are too low.
-    is_holed = service in second.services_with_gaps
-    # Nodes may have counted what callers have not reported yet.
-    is_ahead = (
+    # Calls within a gap are missing from the nodes' counters.
+    has_gap = service in second.services_with_gaps
+    # Nodes may have counted calls that callers have not reported yet.
+    is_report_pending = (
         second.callers_taken_at <= first.nodes_taken_at
         or not second.has_callers_of(service)
     )
-    of_callers = _caller_excesses(first.caller(key), second.node(key))
-    of_nodes = _node_excesses(first.node(key), second.caller(key))
+    caller_excesses = _caller_excesses(first.caller(key), second.node(key))
+    node_excesses = _node_excesses(first.node(key), second.caller(key))
     return [
-        *_explained(key, of_callers, is_explained=is_holed),
-        *_explained(key, of_nodes, is_explained=is_ahead),
+        *_differences_of(key, caller_excesses, is_explained=has_gap),
+        *_differences_of(key, node_excesses, is_explained=is_report_pending),
     ]
 
 
-def _explained(
+def _differences_of(
     key: LineKey,
     excesses: Iterable[tuple[str, int]],
     *,
@@ -180,7 +180,7 @@
     caller: AccountLine,
 ) -> tuple[tuple[str, int], ...]:
     open_calls = caller.unknown + caller.failed + caller.running
-    had = caller.answered + open_calls
+    accounted = caller.answered + open_calls
     return (
         (
             'at nodes arrived <= sent by callers',
@@ -188,12 +188,12 @@
         ),
         (
             'at nodes answered <= answered or without outcome at callers',
-            node.answered - node.external - had,
+            node.answered - node.external - accounted,
         ),
     )
 
 
 def _refused_by_nodes(caller: AccountLine) -> int:
-    # What a caller never sent it refused itself, so it counts as not run.
+    # Calls that a caller did not send were refused by the caller itself.
     unsent = caller.ended - caller.dispatched
     return caller.refused - unsent
--- a/src/lovageshunt/account/_replica_peers.py
+++ b/src/lovageshunt/account/_replica_peers.py
@@ -1,4 +1,4 @@
-"""The choice of the peers that keep a node's account for it."""
+"""Selection of the peers that hold replicas of a node's account."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -7,12 +7,12 @@
 
 from lovageshunt._record import Record
 
-#: Peers that keep each account.
+#: Number of peers that hold a replica of each account.
 REPLICA_COUNT: Final = 2
 
 
 class AccountPeer(Record):
-    """Another node, as the view of members has it."""
+    """Another node: its name, current incarnation and failure domain."""
 
     __slots__ = ('node', 'incarnation', 'failure_domain')
 
@@ -23,28 +23,28 @@
         incarnation: str,
         failure_domain: str,
     ) -> None:
-        """Take the node, its present life and where it is."""
         self.node = node
         self.incarnation = incarnation
         self.failure_domain = failure_domain
 
 
 def replica_peers(node: str, peers: Sequence[AccountPeer]) -> list[AccountPeer]:
-    """Return the peers that keep the account of ``node``.
+    """Return the peers that hold replicas of the account of ``node``.
 
-    Every node that sees the same peers makes the same choice, and a peer
-    that comes or goes changes only the choices it is part of. The keepers
-    are in different failure domains when there are several.
+    Uses rendezvous hashing: nodes with the same list of peers select the
+    same replicas, and a peer that joins or leaves changes only selections
+    that include it. The replicas are in different failure domains if the
+    peers span more than one.
     """
-    ranked = sorted(
+    by_hash = sorted(
         (peer for peer in peers if peer.node != node),
         key=lambda peer: xxh3_64_intdigest(f'{node}\n{peer.node}'.encode()),
     )
-    firsts = ranked[:1]
-    elsewhere = [
+    first = by_hash[:1]
+    in_other_domains = [
         peer
-        for peer in ranked[1:]
-        if peer.failure_domain != firsts[0].failure_domain
+        for peer in by_hash[1:]
+        if peer.failure_domain != first[0].failure_domain
     ]
-    others = elsewhere or ranked[1:]
-    return firsts + others[: REPLICA_COUNT - 1]
+    candidates = in_other_domains or by_hash[1:]
+    return first + candidates[: REPLICA_COUNT - 1]
--- a/src/lovageshunt/account/_replication.py
+++ b/src/lovageshunt/account/_replication.py
@@ -1,4 +1,4 @@
-"""Keeping each other's accounts, because no node has a disk."""
+"""Replication of accounts between nodes, which have no disk."""
 
 from collections import deque
 from collections.abc import Iterator, Sequence
@@ -16,24 +16,24 @@
 )
 from lovageshunt.account._snapshot_store import SnapshotStore
 
-#: Time between two snapshots to the keepers; a kill loses at most this much.
+#: Interval of snapshots to the replicas; a crash loses at most this period.
 SNAPSHOT_INTERVAL_SECONDS: Final = 30
-#: What keeping may send, on average; a longer account is sent less often.
+#: Average send rate limit; a larger account is sent less often.
 MAX_SNAPSHOT_BYTES_PER_SECOND: Final = 200
-#: What was handed on is sent again after so long, in case it was lost.
-_REPEAT_SECONDS: Final = 1800
-#: An account, and the life of a keeper that it was handed to.
-_Handing = tuple[AccountKey, IncarnationKey]
-#: An account that was not heard for so long belongs to a lost node.
-_QUIET_SECONDS: Final = 3 * SNAPSHOT_INTERVAL_SECONDS
+#: A forwarded account is sent again after this time, in case it was lost.
+_FORWARD_AGAIN_SECONDS: Final = 1800
+#: An account, and the incarnation of a replica that it was forwarded to.
+_Forward = tuple[AccountKey, IncarnationKey]
+#: An account not received for this long is taken to be of a lost node.
+_LOST_AFTER_SECONDS: Final = 3 * SNAPSHOT_INTERVAL_SECONDS
 
 
 class ReplicationTick(Record):
-    """Time has passed; come back at least once a second.
+    """A timer tick, due at least once a second.
 
-    ``now`` is in seconds on a clock that never goes back, ``wall_time`` in
-    seconds since 1970. ``peers`` are the other nodes that are here and not
-    leaving, of any service: a service that is lost whole keeps nothing.
+    ``now`` is monotonic time in seconds, ``wall_time`` is in seconds since
+    1970. ``peers`` are the other live nodes that are not leaving, of any
+    service, so that accounts survive the loss of an entire service.
     """
 
     __slots__ = ('now', 'wall_time', 'peers')
@@ -45,25 +45,30 @@
         wall_time: float,
         peers: Sequence[AccountPeer],
     ) -> None:
-        """Take both times and the peers."""
         self.now = now
         self.wall_time = wall_time
         self.peers = peers
 
 
 class SnapshotReceived(Record):
-    """A peer has sent an account to keep, its own or one handed on."""
+    """A peer sent an account to store, its own or a forwarded one.
+
+    ``now`` is in seconds on the clock of ``ReplicationTick``.
+    """
 
     __slots__ = ('now', 'snapshot')
 
     def __init__(self, *, now: float, snapshot: AccountSnapshot) -> None:
-        """Take the time, on the clock of ``ReplicationTick``, and the snapshot."""
         self.now = now
         self.snapshot = snapshot
 
 
 class AccountClosed(Record):
-    """The node leaves, and its last call has ended."""
+    """The node is leaving and its last call has ended.
+
+    ``now`` and ``wall_time`` are as in ``ReplicationTick``; ``peers`` are
+    the nodes that remain.
+    """
 
     __slots__ = ('now', 'wall_time', 'peers')
 
@@ -74,116 +79,116 @@
         wall_time: float,
         peers: Sequence[AccountPeer],
     ) -> None:
-        """Take both times, as in ``ReplicationTick``, and the peers that stay."""
         self.now = now
         self.wall_time = wall_time
         self.peers = peers
 
 
 class SendSnapshot(Record):
-    """Send the wire form of an account to a node, which keeps it."""
+    """Send an encoded account snapshot to a node, which stores it."""
 
     __slots__ = ('to_node', 'raw')
 
     def __init__(self, *, to_node: str, raw: bytes) -> None:
-        """Name the node."""
         self.to_node = to_node
         self.raw = raw
 
 
-KeepingEvent = ReplicationTick | SnapshotReceived | AccountClosed
+ReplicationEvent = ReplicationTick | SnapshotReceived | AccountClosed
 
 
 class AccountReplicator:
-    """Send a node's account to its keepers, and keep the accounts of others.
-
-    The first snapshot goes out at once, and so does one to each new keeper,
-    so that an incarnation that dies young is known by name. A leaver sends
-    its final one and hands on what it keeps of nodes that are gone; so does
-    a keeper whose fellow keeper was replaced. What is sent stays within
-    ``MAX_SNAPSHOT_BYTES_PER_SECOND``.
+    """Sends a node's account to its replicas and stores those of peers.
+
+    The first snapshot is sent immediately, and so is one to each new
+    replica, so that an incarnation is known even if it crashes early. A
+    leaving node sends its final snapshot and forwards the stored accounts of
+    nodes that have left or were lost. A replica forwards them likewise when
+    another replica was replaced. While the node runs, sending is limited to
+    ``MAX_SNAPSHOT_BYTES_PER_SECOND``; ``kept`` is the store of peers'
+    accounts.
     """
 
     __slots__ = (
         'kept',
         '_account',
-        '_handed_at',
-        '_keepers',
-        '_next_at',
-        '_own',
+        '_forwarded_at',
+        '_replicas',
+        '_next_snapshot_at',
+        '_own_peer',
         '_queue',
-        '_resume_at',
+        '_next_send_at',
     )
 
     def __init__(self, account: Account, own: AccountPeer) -> None:
-        """Take the node's own account, and the node as its peers see it."""
         self.kept = SnapshotStore()
         self._account = account
-        self._own = own
-        self._next_at = float('-inf')
-        self._resume_at = float('-inf')
-        self._keepers: list[AccountPeer] = []
+        self._own_peer = own
+        self._next_snapshot_at = float('-inf')
+        self._next_send_at = float('-inf')
+        self._replicas: list[AccountPeer] = []
         self._queue: deque[SendSnapshot] = deque()
-        self._handed_at: dict[_Handing, float] = {}
+        self._forwarded_at: dict[_Forward, float] = {}
 
     @singledispatchmethod
-    def handle(self, event: KeepingEvent) -> list[SendSnapshot]:
-        """Return what to send after an event."""
+    def handle(self, event: ReplicationEvent) -> list[SendSnapshot]:
+        """Return the snapshots to send in response to an event."""
         raise NotImplementedError(f'no handler for {type(event).__name__}')
 
     @handle.register
     def _on_tick(self, event: ReplicationTick) -> list[SendSnapshot]:
-        # An account too long for the rate is not begun again before it went.
+        # An account too large for the rate is sent in full before the next.
         if not self._queue:
             self._fill_queue(event)
-        if not self._queue or event.now < self._resume_at:
+        if not self._queue or event.now < self._next_send_at:
             return []
         action = self._queue.popleft()
-        self._resume_at = (
+        self._next_send_at = (
             event.now + len(action.raw) / MAX_SNAPSHOT_BYTES_PER_SECOND
         )
         return [action]
 
     @handle.register
-    def _on_heard(self, event: SnapshotReceived) -> list[SendSnapshot]:
-        self.kept.keep(event.snapshot, event.now)
+    def _on_snapshot(self, event: SnapshotReceived) -> list[SendSnapshot]:
+        self.kept.add(event.snapshot, event.now)
         return []
 
     @handle.register
     def _on_closed(self, event: AccountClosed) -> list[SendSnapshot]:
-        keepers = replica_peers(self._own.node, event.peers)
+        replicas = replica_peers(self._own_peer.node, event.peers)
         return [
-            *self._own_sends(event, keepers),
-            *self._handings(event.now, event.peers),
+            *self._own_sends(event, replicas),
+            *self._forwarded_sends(event.now, event.peers),
         ]
 
     def _fill_queue(self, event: ReplicationTick) -> None:
-        keepers = replica_peers(self._own.node, event.peers)
-        if keepers and event.now >= self._next_at:
-            self._next_at = event.now + SNAPSHOT_INTERVAL_SECONDS
-            self._forget_old(event.now)
-            self._queue.extend(self._own_sends(event, keepers))
-            peers = (*event.peers, self._own)
-            self._queue.extend(self._handings(event.now, peers))
+        replicas = replica_peers(self._own_peer.node, event.peers)
+        if replicas and event.now >= self._next_snapshot_at:
+            self._next_snapshot_at = event.now + SNAPSHOT_INTERVAL_SECONDS
+            self._drop_expired(event.now)
+            self._queue.extend(self._own_sends(event, replicas))
+            peers = (*event.peers, self._own_peer)
+            self._queue.extend(self._forwarded_sends(event.now, peers))
         else:
-            new = [peer for peer in keepers if peer not in self._keepers]
-            self._queue.extend(self._own_sends(event, new))
-        self._keepers = keepers
-
-    def _forget_old(self, now: float) -> None:
-        self.kept.drop_old(now)
-        self._handed_at = {
-            handing: at
-            for handing, at in self._handed_at.items()
-            if handing[0] in self.kept and now - at < _REPEAT_SECONDS
+            added = [peer for peer in replicas if peer not in self._replicas]
+            self._queue.extend(self._own_sends(event, added))
+        self._replicas = replicas
+
+    def _drop_expired(self, now: float) -> None:
+        self.kept.drop_expired(now)
+        self._forwarded_at = {
+            forward: forwarded_at
+            for forward, forwarded_at in self._forwarded_at.items()
+            if forward[0] in self.kept
+            and now - forwarded_at < _FORWARD_AGAIN_SECONDS
         }
 
     def _own_sends(
         self,
         event: ReplicationTick | AccountClosed,
-        keepers: Sequence[AccountPeer],
+        replicas: Sequence[AccountPeer],
     ) -> list[SendSnapshot]:
-        if not keepers:
+        if not replicas:
             return []
         snapshot = self._account.snapshot(
             event.wall_time,
@@ -191,19 +196,21 @@
         )
         raw = encode_snapshot(snapshot)
         return [
-            SendSnapshot(to_node=keeper.node, raw=raw) for keeper in keepers
+            SendSnapshot(to_node=replica.node, raw=raw) for replica in replicas
         ]
 
-    def _handings(
+    def _forwarded_sends(
         self,
         now: float,
         peers: Sequence[AccountPeer],
     ) -> Iterator[SendSnapshot]:
-        for account_key, raw in self.kept.quiet_since(now - _QUIET_SECONDS):
-            for keeper in replica_peers(account_key[1], peers):
-                handing = (account_key, (keeper.node, keeper.incarnation))
-                is_own = keeper.node == self._own.node
-                if is_own or handing in self._handed_at:
+        for account_key, raw in self.kept.final_or_older_than(
+            now - _LOST_AFTER_SECONDS
+        ):
+            for replica in replica_peers(account_key[1], peers):
+                forward = (account_key, (replica.node, replica.incarnation))
+                is_this_node = replica.node == self._own_peer.node
+                if is_this_node or forward in self._forwarded_at:
                     continue
-                self._handed_at[handing] = now
-                yield SendSnapshot(to_node=keeper.node, raw=raw)
+                self._forwarded_at[forward] = now
+                yield SendSnapshot(to_node=replica.node, raw=raw)
--- a/src/lovageshunt/account/_snapshot.py
+++ b/src/lovageshunt/account/_snapshot.py
@@ -1,4 +1,4 @@
-"""An account at one moment, and its wire form."""
+"""A snapshot of an account, and its encoding for peers."""
 
 from base64 import b64decode, b64encode
 from enum import StrEnum
@@ -16,27 +16,28 @@
 )
 from lovageshunt.errors import MalformedSnapshotError
 
-#: A snapshot that unpacks to more than this is refused.
+#: Maximum decompressed size; it bounds the memory of decoding.
 MAX_SNAPSHOT_BYTES: Final = 256 * 1024
 
 
 class Role(StrEnum):
-    """Who keeps an account: the node beside a target, or a caller."""
+    """Who counts: the node in front of a target, or a caller."""
 
     NODE = 'node'
     CALLER = 'caller'
 
 
-#: What names an account: role, node and incarnation.
+#: The identity of an account: role, node and incarnation.
 AccountKey = tuple[Role, str, str]
 
 
 class AccountSnapshot(Record):
-    """The cumulative counters of one incarnation at one moment.
+    """The cumulative counters of one incarnation at one time.
 
-    They cover the time from ``started_at`` to ``taken_at``, in seconds of
-    the node's own clock. Of two snapshots of one incarnation the one with
-    the higher ``sequence`` holds all that the other does.
+    They cover the window from ``started_at`` to ``taken_at``, in seconds
+    since 1970 on the node's own clock. Of two snapshots of an incarnation,
+    the one with the higher ``sequence`` includes all counts of the other.
+    ``is_final`` means that no further calls are counted.
     """
 
     __slots__ = (
@@ -62,7 +63,6 @@
         is_final: bool = False,
         lines: list[AccountLine] | None = None,
     ) -> None:
-        """Take the account's name, window and lines."""
         self.node = node
         self.incarnation = incarnation
         self.role = role
@@ -74,64 +74,65 @@
 
     @property
     def account_key(self) -> AccountKey:
-        """Return whose account this is."""
+        """Return role, node and incarnation."""
         return (self.role, self.node, self.incarnation)
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the fields by name; counters that are 0 are left out."""
+        """Return the fields by name, omitting counters that are 0."""
         fields = super().as_dict()
         fields['lines'] = [_line_fields(line) for line in self.lines]
         return fields
 
 
 def encode_snapshot(snapshot: AccountSnapshot) -> bytes:
-    """Return the snapshot's wire form, for peers.
+    """Return the snapshot as a JSON string of its compressed fields.
 
-    It is packed, and itself JSON (one string), so that it can stand in a
-    larger message as it is.
+    The result can be embedded in a larger JSON message unchanged.
     """
-    packed = compress(orjson.dumps(snapshot.as_dict()))
-    return orjson.dumps(b64encode(packed).decode('ascii'))
+    compressed = compress(orjson.dumps(snapshot.as_dict()))
+    return orjson.dumps(b64encode(compressed).decode('ascii'))
 
 
 def decode_snapshot(raw: bytes) -> AccountSnapshot:
-    """Return the snapshot in what ``encode_snapshot`` made.
+    """Return the snapshot encoded by ``encode_snapshot``.
 
-    Raises ``MalformedSnapshotError`` when it is none.
+    Raises ``MalformedSnapshotError`` on invalid data or fields.
     """
     try:
-        fields = orjson.loads(_unpack(_text(orjson.loads(raw))))
+        fields = orjson.loads(_decompress(_checked_string(orjson.loads(raw))))
     except (ValueError, ZlibError) as error:
         raise MalformedSnapshotError(str(error)) from error
     return snapshot_from_dict(fields)
 
 
 def snapshot_from_dict(fields: object) -> AccountSnapshot:
-    """Return the snapshot whose ``as_dict`` gave these fields.
+    """Return the snapshot with the fields of its ``as_dict``.
 
-    Raises ``MalformedSnapshotError`` when there is none.
+    Raises ``MalformedSnapshotError`` when a field is invalid.
     """
     if not isinstance(fields, dict):
-        raise MalformedSnapshotError('no JSON object')
+        raise MalformedSnapshotError('expected a JSON object')
     try:
         return _snapshot_of(dict(fields))
     except (KeyError, TypeError, ValueError) as error:
         raise MalformedSnapshotError(str(error)) from error
 
 
-def _text(wire: object) -> str:
-    if not isinstance(wire, str):
-        raise ValueError('no JSON string')
-    return wire
+def _checked_string(encoded: object) -> str:
+    if not isinstance(encoded, str):
+        raise ValueError('expected a JSON string')
+    return encoded
 
 
-def _unpack(wire: str) -> bytes:
-    unpacker = decompressobj()
-    packed = b64decode(wire, validate=True)
-    unpacked = unpacker.decompress(packed, MAX_SNAPSHOT_BYTES)
-    if not unpacker.eof:
-        raise ValueError(f'cut, or longer than {MAX_SNAPSHOT_BYTES} bytes')
-    return unpacked
+def _decompress(encoded: str) -> bytes:
+    decompressor = decompressobj()
+    compressed = b64decode(encoded, validate=True)
+    decompressed = decompressor.decompress(compressed, MAX_SNAPSHOT_BYTES)
+    if not decompressor.eof:
+        raise ValueError(
+            f'truncated, or longer than {MAX_SNAPSHOT_BYTES} bytes',
+        )
+    return decompressed
 
 
 def _snapshot_of(fields: dict[str, Any]) -> AccountSnapshot:
@@ -139,7 +140,7 @@
     role = Role(fields.pop('role', Role.NODE))
     for name in ('node', 'incarnation'):
         if not isinstance(fields[name], str):
-            raise ValueError(f'{name} is no text')
+            raise ValueError(f'{name} is not a string')
     for name in ('started_at', 'taken_at'):
         fields[name] = float(fields[name])
     _check_count('sequence', fields['sequence'])
@@ -149,7 +150,7 @@
 def _line_of(fields: dict[str, Any]) -> AccountLine:
     line = AccountLine(**fields)
     if not isinstance(line.service + line.kind, str):
-        raise TypeError('service and kind are text')
+        raise TypeError('service and kind must be strings')
     _check_count('importance', line.importance)
     for name in COUNT_FIELDS:
         _check_count(name, getattr(line, name))
@@ -161,8 +162,8 @@
 
 def _check_count(name: str, count: object) -> None:
     if isinstance(count, bool) or not isinstance(count, int):
-        raise ValueError(f'{name} is no whole number')
-    # A negative count of running calls is a fault that balance() reports.
+        raise ValueError(f'{name} is not an integer')
+    # find_imbalances() reports a negative number of running calls.
     if count < 0 and name != 'running':
         raise ValueError(f'{name} is negative')
 
--- a/src/lovageshunt/account/_snapshot_store.py
+++ b/src/lovageshunt/account/_snapshot_store.py
@@ -1,4 +1,4 @@
-"""The accounts of others that a node keeps in its memory."""
+"""In-memory store of the account snapshots of other nodes."""
 
 from typing import Final
 
@@ -11,16 +11,20 @@
     encode_snapshot,
 )
 
-#: Accounts kept at most; the oldest make room.
-MAX_KEPT: Final = 64
-#: Accounts older than this are dropped: the parent asks every day.
-MAX_KEPT_SECONDS: Final = 26 * 3600
+#: Maximum number of stored accounts; the least recently updated is evicted.
+MAX_SNAPSHOTS: Final = 64
+#: Accounts not updated for longer are dropped; they are collected daily.
+MAX_AGE_SECONDS: Final = 26 * 3600
 
 
-class KeptSnapshot(Record):
-    """The newest snapshot of an incarnation in its wire form."""
+class StoredSnapshot(Record):
+    """The newest snapshot of an incarnation, encoded, and its ordering keys.
 
-    __slots__ = ('raw', 'sequence', 'taken_at', 'heard_at', 'is_final')
+    ``taken_at`` is on the clock of the snapshot's node and ``received_at`` on
+    that of the storing node, both in seconds.
+    """
+
+    __slots__ = ('raw', 'sequence', 'taken_at', 'received_at', 'is_final')
 
     def __init__(
         self,
@@ -28,88 +32,87 @@
         raw: bytes,
         sequence: int,
         taken_at: float,
-        heard_at: float,
+        received_at: float,
         is_final: bool,
     ) -> None:
-        """Take the wire form and what orders it.
-
-        ``taken_at`` is on the clock of its node and ``heard_at`` on that of
-        the keeper, both in seconds.
-        """
         self.raw = raw
         self.sequence = sequence
         self.taken_at = taken_at
-        self.heard_at = heard_at
+        self.received_at = received_at
         self.is_final = is_final
 
 
 class SnapshotStore:
-    """A bounded memory of others' accounts; ``forgotten`` counts the dropped.
+    """Bounded store of other nodes' accounts, by incarnation.
 
-    The wire form is kept, because it takes a fraction of the memory.
+    ``dropped`` is the number of accounts dropped so far. Snapshots are
+    stored encoded, which takes a fraction of the memory.
     """
 
-    __slots__ = ('forgotten', '_kept_by_owner')
+    __slots__ = ('dropped', '_stored_by_key')
 
     def __init__(self) -> None:
-        """Start with nothing."""
-        self.forgotten = 0
-        self._kept_by_owner: dict[AccountKey, KeptSnapshot] = {}
+        self.dropped = 0
+        self._stored_by_key: dict[AccountKey, StoredSnapshot] = {}
 
     def __contains__(self, account_key: AccountKey) -> bool:
-        """Say whether an account is kept."""
-        return account_key in self._kept_by_owner
+        return account_key in self._stored_by_key
 
-    def keep(self, snapshot: AccountSnapshot, now: float) -> None:
-        """Keep a snapshot unless a newer one of its life is kept."""
+    def add(self, snapshot: AccountSnapshot, now: float) -> None:
+        """Store a snapshot unless the stored one is as recent."""
         account_key = snapshot.account_key
-        held = self._kept_by_owner.get(account_key)
+        held = self._stored_by_key.get(account_key)
         if held and held.sequence >= snapshot.sequence:
             return
-        self._kept_by_owner[account_key] = KeptSnapshot(
+        self._stored_by_key[account_key] = StoredSnapshot(
             raw=encode_snapshot(snapshot),
             sequence=snapshot.sequence,
             taken_at=snapshot.taken_at,
-            heard_at=now,
+            received_at=now,
             is_final=snapshot.is_final,
         )
-        if len(self._kept_by_owner) > MAX_KEPT:
-            self._forget(self._oldest())
+        if len(self._stored_by_key) > MAX_SNAPSHOTS:
+            self._drop(self._oldest())
 
-    def drop_old(self, now: float) -> None:
-        """Drop what is older than a day and a little."""
-        old = [
+    def drop_expired(self, now: float) -> None:
+        """Drop accounts not updated for ``MAX_AGE_SECONDS``."""
+        expired = [
             account_key
-            for account_key, kept in self._kept_by_owner.items()
-            if now - kept.heard_at > MAX_KEPT_SECONDS
+            for account_key, stored in self._stored_by_key.items()
+            if now - stored.received_at > MAX_AGE_SECONDS
         ]
-        for account_key in old:
-            self._forget(account_key)
+        for account_key in expired:
+            self._drop(account_key)
 
-    def quiet_since(self, moment: float) -> list[tuple[AccountKey, bytes]]:
-        """Return those that are final or were last heard before ``moment``."""
+    def final_or_older_than(
+        self, received_before: float
+    ) -> list[tuple[AccountKey, bytes]]:
+        """Return the encoded accounts that are final or not updated since."""
         return [
-            (account_key, kept.raw)
-            for account_key, kept in self._kept_by_owner.items()
-            if kept.is_final or kept.heard_at < moment
+            (account_key, stored.raw)
+            for account_key, stored in self._stored_by_key.items()
+            if stored.is_final or stored.received_at < received_before
         ]
 
     def snapshots(self, role: Role) -> list[AccountSnapshot]:
-        """Return what is kept of one role, ordered by node."""
-        kept = self._kept_by_owner
+        """Return the snapshots of one role, ordered by node."""
+        stored = self._stored_by_key
         return [
-            decode_snapshot(kept[account_key].raw)
-            for account_key in sorted(kept)
+            decode_snapshot(stored[account_key].raw)
+            for account_key in sorted(stored)
             if account_key[0] is role
         ]
 
     def _oldest(self) -> AccountKey:
-        kept = self._kept_by_owner
+        stored = self._stored_by_key
         return min(
-            kept,
-            key=lambda account_key: (kept[account_key].heard_at, account_key),
+            stored,
+            key=lambda account_key: (
+                stored[account_key].received_at,
+                account_key,
+            ),
         )
 
-    def _forget(self, account_key: AccountKey) -> None:
-        self._kept_by_owner.pop(account_key)
-        self.forgotten += 1
+    def _drop(self, account_key: AccountKey) -> None:
+        self._stored_by_key.pop(account_key)
+        self.dropped += 1
--- a/tests/account/strategies.py
+++ b/tests/account/strategies.py
@@ -1,4 +1,4 @@
-"""Accounts for property-based tests."""
+"""Strategies that generate account lines and snapshots."""
 
 from hypothesis import strategies as st
 
--- a/tests/account/test_account.py
+++ b/tests/account/test_account.py
@@ -1,4 +1,4 @@
-"""The counters of one node."""
+"""Tests of the call counters of one node."""
 
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
@@ -13,7 +13,7 @@
 
 
 class AccountMachine(RuleBasedStateMachine):
-    """Calls that arrive and end in any order."""
+    """Calls that arrive and end in arbitrary order."""
 
     def __init__(self):
         super().__init__()
@@ -44,7 +44,7 @@
 
     @invariant()
     def balances(self):
-        """Arrivals are the sum of all ends and of what is running."""
+        """Arrived calls are the sum of ended and running ones."""
         snapshot = self.account.snapshot(11.0)
 
         assert not find_imbalances(snapshot)
@@ -57,10 +57,10 @@
 
 
 class TestAccount:
-    """Counting."""
+    """Counting of arrivals, ends and waste."""
 
     def test_end_without_arrival_is_an_imbalance(self):
-        """A call counted at its end only is reported."""
+        """A call counted at its end but not on arrival is reported."""
         account = Account('n1', 'a', 0)
 
         account.ended('balances', 'lookup', 1, Outcome.ANSWERED)
@@ -70,7 +70,7 @@
         assert imbalance.excess == 1
 
     def test_end_never_counted_is_an_imbalance(self):
-        """A call that admission no longer holds but never ended shows."""
+        """A running call that admission no longer holds is reported."""
         account = Account('n1', 'a', 0)
         account.arrived('balances', 'lookup', 1)
         snapshot = account.snapshot(1)
@@ -81,7 +81,7 @@
         assert not find_imbalances(snapshot, {'balances': 1})
 
     def test_waste_is_counted_by_reason(self):
-        """A cancelled call that ran is wasted because it was cancelled."""
+        """A cancelled call that ran is wasted with reason cancelled."""
         account = Account('n1', 'a', 0)
         call = ('balances', 'lookup', 1)
         account.arrived(*call)
@@ -99,7 +99,7 @@
         assert line.failed_by_reason == {'cancelled': 1}
 
     def test_snapshot_is_not_changed_by_later_calls(self):
-        """A snapshot keeps the counters of its moment."""
+        """Calls counted after a snapshot do not change it."""
         account = Account('n1', 'a', 0)
         account.arrived('balances', 'lookup', 1)
         snapshot = account.snapshot(1.0)
@@ -109,7 +109,7 @@
         assert snapshot.lines[0].arrived == 1
 
     def test_lines_are_bounded(self):
-        """Callers that invent kinds cannot make the account grow."""
+        """Arbitrarily many call kinds do not grow the account without limit."""
         account = Account('n1', 'a', 0)
         for number in range(400):
             account.arrived('balances', f'kind {number}', 1)
--- a/tests/account/test_keeping.py
+++ b/tests/account/test_keeping.py
@@ -1,4 +1,4 @@
-"""Keeping each other's accounts."""
+"""Tests of replicating accounts between nodes."""
 
 from random import Random
 
@@ -43,35 +43,35 @@
 
 
 class Fleet:
-    """Nodes on one clock that keep each other's accounts."""
+    """Simulated nodes, with one clock, that replicate their accounts."""
 
     def __init__(self):
         self.now = 0
-        self.births = 0
-        self.is_cut = False
+        self.start_count = 0
+        self.drops_messages = False
         self.peer_by_node = {}
         self.account_by_node = {}
-        self.keeping_by_node = {}
+        self.replicator_by_node = {}
         self.bytes_by_node = {}
 
     def start(self, number):
         """Start a node, or its replacement."""
-        self.births += 1
-        peer = peer_of(number, f'life {self.births}')
+        self.start_count += 1
+        peer = peer_of(number, f'life {self.start_count}')
         account = Account(peer.node, peer.incarnation, self.now)
         self.peer_by_node[peer.node] = peer
         self.account_by_node[peer.node] = account
-        self.keeping_by_node[peer.node] = AccountReplicator(account, peer)
+        self.replicator_by_node[peer.node] = AccountReplicator(account, peer)
 
     def lose(self, node):
-        """Take a node away without a word."""
+        """Remove a node as if its VM had crashed; return its account."""
         self.peer_by_node.pop(node)
-        self.keeping_by_node.pop(node)
+        self.replicator_by_node.pop(node)
         return self.account_by_node.pop(node)
 
     def leave(self, node):
-        """Let a node leave and hand over."""
-        keeping = self.keeping_by_node[node]
+        """Let a node leave gracefully and deliver its last messages."""
+        replicator = self.replicator_by_node[node]
         peers = self.others(node)
         self.lose(node)
         closed = AccountClosed(
@@ -79,7 +79,7 @@
             wall_time=self.now,
             peers=peers,
         )
-        self.deliver(node, keeping.handle(closed))
+        self.deliver(node, replicator.handle(closed))
 
     def others(self, node):
         """Return the peers of a node."""
@@ -87,23 +87,23 @@
         return [peer for peer in peers if peer.node != node]
 
     def run(self, seconds):
-        """Let time pass, a tick each second."""
+        """Advance the clock, with a tick each second."""
         for _ in range(seconds):
             self.now += 1
-            for node, keeping in list(self.keeping_by_node.items()):
+            for node, replicator in list(self.replicator_by_node.items()):
                 tick = ReplicationTick(
                     now=self.now,
                     wall_time=self.now,
                     peers=self.others(node),
                 )
-                self.deliver(node, keeping.handle(tick))
+                self.deliver(node, replicator.handle(tick))
 
     def deliver(self, sender, actions):
-        """Carry what a node sends, unless messages are lost."""
-        for action in () if self.is_cut else actions:
+        """Deliver the messages of a node, unless they are to be dropped."""
+        for action in () if self.drops_messages else actions:
             sent = self.bytes_by_node.get(sender, 0) + len(action.raw)
             self.bytes_by_node[sender] = sent
-            self.keeping_by_node[action.to_node].handle(
+            self.replicator_by_node[action.to_node].handle(
                 SnapshotReceived(
                     now=self.now,
                     snapshot=decode_snapshot(action.raw),
@@ -111,21 +111,21 @@
             )
 
     def collect(self):
-        """Return what the account command would merge."""
+        """Return the merged accounts, as the account command collects them."""
         merged = MergedAccount()
-        for node, keeping in self.keeping_by_node.items():
+        for node, replicator in self.replicator_by_node.items():
             merged.add(self.account_by_node[node].snapshot(self.now))
-            merged.merge(MergedAccount(keeping.kept.snapshots(Role.NODE)))
+            merged.merge(MergedAccount(replicator.kept.snapshots(Role.NODE)))
         return merged
 
     def live(self):
-        """Return the incarnations that are here."""
+        """Return the live incarnations."""
         peers = self.peer_by_node.values()
         return [(peer.node, peer.incarnation) for peer in peers]
 
 
 def fleet_of(count):
-    """Return a fleet that has run for a minute."""
+    """Return a fleet that has run for 60 s."""
     fleet = Fleet()
     for number in range(count):
         fleet.start(number)
@@ -133,8 +133,8 @@
     return fleet
 
 
-class KeepingMachine(RuleBasedStateMachine):
-    """Nodes that count, are lost, leave and are replaced, one at a time."""
+class ReplicationMachine(RuleBasedStateMachine):
+    """Nodes count calls, crash, leave and are replaced, one at a time."""
 
     @initialize()
     def begin(self):
@@ -161,15 +161,15 @@
 
     @rule(number=st.integers(0, NODES - 1))
     def kill(self, number):
-        """A node is lost and replaced; later the others hand on."""
+        """A node crashes and is replaced; then peers forward its account."""
         self.fleet.lose(f'n{number}')
         self.fleet.start(number)
         self.lost += 1
         self.fleet.run(200)
 
     @invariant()
-    def losses_are_named_holes(self):
-        """Each lost incarnation is a hole, and no other is."""
+    def lost_incarnations_are_gaps(self):
+        """Exactly the crashed incarnations are reported as gaps."""
         fleet = self.fleet
         merged = fleet.collect()
 
@@ -180,28 +180,28 @@
         assert counted == self.answered or gaps
 
 
-TestKeepingMachine = KeepingMachine.TestCase
-TestKeepingMachine.settings = settings(
+TestReplicationMachine = ReplicationMachine.TestCase
+TestReplicationMachine.settings = settings(
     max_examples=20,
     stateful_step_count=12,
 )
 
 
-class TestAccountKeeping:
-    """A fleet under failures."""
+class TestAccountReplicator:
+    """Replication under failures."""
 
     def test_kill_loses_at_most_an_interval(self):
-        """The hole begins at most 31 s before the kill."""
+        """The gap begins at most 31 s before the crash."""
         fleet = fleet_of(4)
         fleet.run(14)
 
         fleet.lose('n0')
 
-        hole = only(fleet.collect().gaps(fleet.now, fleet.live()))
-        assert fleet.now - hole.from_at <= 31
+        gap = only(fleet.collect().gaps(fleet.now, fleet.live()))
+        assert fleet.now - gap.from_at <= 31
 
-    def test_final_snapshot_outlives_all_its_keepers(self):
-        """A leaver's counts survive when every other node is replaced."""
+    def test_final_snapshot_outlives_all_its_replicas(self):
+        """A leaver's counts survive the replacement of every other node."""
         fleet = fleet_of(5)
         account = fleet.account_by_node['n0']
         account.arrived(*CALL)
@@ -216,8 +216,8 @@
         assert only(merged.lines()).answered == 1
         assert not merged.gaps(fleet.now, fleet.live())
 
-    def test_hole_outlives_all_its_keepers(self):
-        """A lost node is known when every other node is lost, one by one."""
+    def test_gap_outlives_all_its_replicas(self):
+        """A lost node stays known if all others are lost one by one."""
         fleet = fleet_of(5)
 
         for number in range(5):
@@ -226,26 +226,26 @@
             fleet.run(200)
 
         gaps = fleet.collect().gaps(fleet.now, fleet.live())
-        assert [hole.node for hole in gaps] == ['n0', 'n1', 'n2', 'n3', 'n4']
+        assert [gap.node for gap in gaps] == ['n0', 'n1', 'n2', 'n3', 'n4']
 
-    def test_lost_handing_on_is_repeated(self):
-        """An account handed on in vain is handed on again half an hour on."""
+    def test_lost_forwarding_is_repeated(self):
+        """An account whose forwarding was lost is forwarded after 1800 s."""
         fleet = fleet_of(5)
         fleet.lose('n0')
-        keeper = replica_peers('n0', list(fleet.peer_by_node.values()))[0].node
-        fleet.lose(keeper)
-        fleet.start(int(keeper.removeprefix('n')))
-        fleet.is_cut = True
+        replica = replica_peers('n0', list(fleet.peer_by_node.values()))[0].node
+        fleet.lose(replica)
+        fleet.start(int(replica.removeprefix('n')))
+        fleet.drops_messages = True
         fleet.run(200)
-        fleet.is_cut = False
+        fleet.drops_messages = False
         fleet.run(1860)
 
-        kept = fleet.keeping_by_node[keeper].kept.snapshots(Role.NODE)
+        kept = fleet.replicator_by_node[replica].kept.snapshots(Role.NODE)
 
         assert 'n0' in [snapshot.node for snapshot in kept]
 
-    def test_new_keeper_is_told_at_once(self):
-        """A node that knew one peer at its start is kept by later ones, too."""
+    def test_new_replica_is_sent_a_snapshot_at_once(self):
+        """A peer that joins later receives a snapshot without delay."""
         fleet = fleet_of(2)
         fleet.run(5)
         fleet.start(2)
@@ -255,10 +255,10 @@
         fleet.lose('n0')
 
         gaps = fleet.collect().gaps(fleet.now, fleet.live())
-        assert [hole.node for hole in gaps] == ['n0', 'n1']
+        assert [gap.node for gap in gaps] == ['n0', 'n1']
 
     def test_bytes_stay_within_the_rate(self):
-        """Over any time a node sends its rate and one message at most."""
+        """A node sends at most its rate limit plus one message."""
         fleet = fleet_of(3)
         for seed in range(250):
             kind = Random(seed).randbytes(32).hex()
@@ -272,51 +272,51 @@
         assert fleet.bytes_by_node['n0'] <= 200 * 600 + longest
 
 
-class TestKeepersOf:
-    """The choice of keepers."""
+class TestReplicaPeers:
+    """Selection of replicas."""
 
-    @given(count=st.integers(3, 12), gone=st.integers(1, 11))
-    def test_other_choices_stay(self, count, gone):
-        """A peer that goes changes only the choices it was part of."""
+    @given(count=st.integers(3, 12), removed=st.integers(1, 11))
+    def test_other_selections_stay(self, count, removed):
+        """Removing a peer changes only the selections that include it."""
         peers = [peer_of(number) for number in range(count)]
         before = replica_peers('x', peers)
-        left = [peer for peer in peers if peer.node != f'n{gone}']
+        remaining = [peer for peer in peers if peer.node != f'n{removed}']
 
-        after = replica_peers('x', left)
+        after = replica_peers('x', remaining)
 
-        kept = [peer for peer in before if peer.node != f'n{gone}']
+        kept = [peer for peer in before if peer.node != f'n{removed}']
         assert all(peer in after for peer in kept[:1])
         assert len(kept) == 1 or after == before
 
     @given(count=st.integers(2, 12))
-    def test_keepers_are_in_two_failure_domains(self, count):
-        """The loss of one failure domain leaves a keeper."""
+    def test_replicas_are_in_two_failure_domains(self, count):
+        """A replica survives the loss of one failure domain."""
         peers = [peer_of(number) for number in range(count)]
 
-        keepers = replica_peers('x', peers)
+        replicas = replica_peers('x', peers)
 
-        assert len({keeper.failure_domain for keeper in keepers}) == 2
+        assert len({replica.failure_domain for replica in replicas}) == 2
 
 
-class TestKeptSnapshots:
-    """The bound."""
+class TestSnapshotStore:
+    """Limits on entries and age."""
 
-    def test_oldest_makes_room_and_is_counted(self):
-        """More than 64 accounts are never kept, and the loss is known."""
+    def test_oldest_is_evicted_and_counted(self):
+        """At most 64 accounts are stored; evictions are counted."""
         kept = SnapshotStore()
         for number in range(70):
             account = Account(f'n{number}', 'a', 0)
-            kept.keep(account.snapshot(1), number)
+            kept.add(account.snapshot(1), number)
 
         assert len(kept.snapshots(Role.NODE)) == 64
-        assert kept.forgotten == 6
+        assert kept.dropped == 6
         assert (Role.NODE, 'n5', 'a') not in kept
 
-    def test_old_ones_are_dropped(self):
-        """After a day and a little an account is dropped."""
+    def test_expired_accounts_are_dropped(self):
+        """An account not updated for 26 h is dropped."""
         kept = SnapshotStore()
-        kept.keep(Account('n1', 'a', 0).snapshot(1), 0)
+        kept.add(Account('n1', 'a', 0).snapshot(1), 0)
 
-        kept.drop_old(27 * 3600)
+        kept.drop_expired(27 * 3600)
 
         assert not kept.snapshots(Role.NODE)
--- a/tests/account/test_merge.py
+++ b/tests/account/test_merge.py
@@ -1,4 +1,4 @@
-"""The account of many nodes."""
+"""Tests of merging the accounts of many nodes."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 
 
 def snapshot_of(node='n1', incarnation='a', *, sequence=1, **fields):
-    """Return a snapshot of [0, 10] with the given fields."""
+    """Return a snapshot of the window [0, 10] s with the given fields."""
     fields = {'started_at': 0, 'taken_at': 10.0, **fields}
     return AccountSnapshot(
         node=node,
@@ -23,11 +23,11 @@
 
 
 class TestMergedAccount:
-    """Merging."""
+    """Merging of snapshots."""
 
     @given(snapshots=st.lists(SNAPSHOTS), data=st.data())
     def test_order_and_repetition_make_no_difference(self, snapshots, data):
-        """Any order of the same snapshots, some twice, merges to the same."""
+        """Merging is commutative and idempotent."""
         shuffled = data.draw(st.permutations(snapshots + snapshots[:2]))
 
         merged = MergedAccount(shuffled)
@@ -36,7 +36,7 @@
 
     @given(parts=st.tuples(FEW_SNAPSHOTS, FEW_SNAPSHOTS, FEW_SNAPSHOTS))
     def test_grouping_makes_no_difference(self, parts):
-        """Merging (a, b) with c is merging a with (b, c)."""
+        """Merging is associative."""
         one, two, three = parts
         left = MergedAccount(one)
         left.merge(MergedAccount(two))
@@ -48,7 +48,7 @@
         assert left.snapshots() == right.snapshots()
 
     def test_incarnations_add_up(self):
-        """The counters of a node's lives are summed, each once."""
+        """The counters of a node's incarnations are summed, each once."""
         merged = MergedAccount()
         for incarnation in ('a', 'b'):
             account = Account('n1', incarnation, 0)
@@ -62,29 +62,29 @@
         assert line.answered == 6
 
 
-class TestHoles:
-    """The holes that lost VMs leave."""
+class TestGaps:
+    """Gaps left by lost VMs."""
 
-    def test_lost_incarnation_leaves_a_hole_until_its_replacement(self):
-        """The hole runs from the last snapshot to the replacement's start."""
+    def test_lost_incarnation_leaves_a_gap_until_its_replacement(self):
+        """The gap runs from the last snapshot to the replacement's start."""
         merged = MergedAccount(
             [snapshot_of(), snapshot_of('n1', 'b', started_at=25.0)],
         )
 
-        hole = only(merged.gaps(now=99, live=[('n1', 'b')]))
+        gap = only(merged.gaps(now=99, live=[('n1', 'b')]))
 
-        assert (hole.incarnation, hole.from_at, hole.to_at) == ('a', 10.0, 25.0)
+        assert (gap.incarnation, gap.from_at, gap.to_at) == ('a', 10.0, 25.0)
 
-    def test_hole_without_replacement_runs_until_now(self):
-        """Without a replacement the hole is still open."""
+    def test_gap_without_replacement_runs_until_now(self):
+        """Without a replacement the gap runs to the time of the query."""
         merged = MergedAccount([snapshot_of()])
 
-        hole = only(merged.gaps(now=99, live=[]))
+        gap = only(merged.gaps(now=99, live=[]))
 
-        assert hole.to_at == 99
+        assert gap.to_at == 99
 
-    def test_graceful_leaver_leaves_no_hole(self):
-        """A final snapshot closes the account of its incarnation."""
+    def test_graceful_leaver_leaves_no_gap(self):
+        """An incarnation with a final snapshot leaves no gap."""
         merged = MergedAccount([snapshot_of(is_final=True)])
 
         assert not merged.gaps(now=99, live=[])
--- a/tests/account/test_reconcile.py
+++ b/tests/account/test_reconcile.py
@@ -1,4 +1,4 @@
-"""The check of callers' figures against nodes' figures."""
+"""Tests of reconciling the counters of callers with those of nodes."""
 
 import pytest
 from hypothesis import given
@@ -11,8 +11,8 @@
 CALL = ('balances', 'lookup', 1)
 
 
-class World:
-    """One caller and one node, whose accounts are read mid-flight."""
+class Simulation:
+    """One caller and one node, sampled with calls in transit."""
 
     def __init__(self):
         self.caller = Account('phone', 'a', 0, role=Role.CALLER)
@@ -22,7 +22,7 @@
         self.answers = []
 
     def refuse(self, outcome):
-        """The caller refuses a call itself."""
+        """The caller refuses a call without sending it."""
         self.caller.arrived(*CALL)
         self.caller.ended(*CALL, Outcome.NOT_RUN, RefusalReason.NO_TARGET)
 
@@ -52,7 +52,7 @@
             self.answers.append(outcome)
 
     def receive(self, outcome):
-        """The caller has the oldest answer."""
+        """The caller receives the oldest answer."""
         if self.answers:
             self.caller.ended(*CALL, self.answers.pop(0), ran=True)
 
@@ -62,8 +62,8 @@
             self.answers.pop(0)
             self.caller.ended(*CALL, Outcome.UNKNOWN, ran=True)
 
-    def reading(self, **fields):
-        """Return the figures of this moment."""
+    def sample(self, **fields):
+        """Return the current counters of both sides."""
         return AccountSample(
             callers=self.caller.snapshot(1).lines,
             nodes=self.node.snapshot(1).lines,
@@ -75,13 +75,13 @@
     st.tuples(
         st.sampled_from(
             [
-                World.refuse,
-                World.send,
-                World.lose,
-                World.arrive,
-                World.end,
-                World.receive,
-                World.lose_answer,
+                Simulation.refuse,
+                Simulation.send,
+                Simulation.lose,
+                Simulation.arrive,
+                Simulation.end,
+                Simulation.receive,
+                Simulation.lose_answer,
             ],
         ),
         st.sampled_from(Outcome),
@@ -91,81 +91,96 @@
 
 
 def run(*steps):
-    """Return a world after steps that all end in an answer."""
-    world = World()
+    """Return a simulation after the given steps, each with an answer."""
+    simulation = Simulation()
     for step in steps:
-        step(world, Outcome.ANSWERED)
-    return world
+        step(simulation, Outcome.ANSWERED)
+    return simulation
 
 
 class TestReconcile:
-    """Reconciling."""
+    """Comparison of the counters."""
 
     @given(before=STEPS, between=STEPS, after=STEPS)
-    def test_honest_figures_never_differ(self, before, between, after):
-        """Readings taken at different moments of a lossy world agree.
+    def test_correct_counters_never_differ(self, before, between, after):
+        """Correct counters are consistent although messages are lost.
 
-        Callers are read before nodes the first time and after them the
-        second time, with calls on their way all along.
+        The first sample reads callers before nodes, the second sample reads
+        both later, with calls in transit throughout.
         """
-        world = World()
+        simulation = Simulation()
         for step, outcome in before:
-            step(world, outcome)
-        first = world.reading()
+            step(simulation, outcome)
+        first = simulation.sample()
         for step, outcome in between:
-            step(world, outcome)
+            step(simulation, outcome)
         first = AccountSample(
             callers=first.callers.values(),
-            nodes=world.reading().nodes.values(),
+            nodes=simulation.sample().nodes.values(),
         )
         for step, outcome in after:
-            step(world, outcome)
+            step(simulation, outcome)
 
-        assert not reconcile(first, world.reading())
+        assert not reconcile(first, simulation.sample())
 
-    def test_calls_between_readings_are_no_difference(self):
-        """What moves on between the two readings contradicts nothing."""
-        world = run(World.send, World.arrive)
-        first = world.reading()
-        for step in (World.end, World.receive, World.send, World.arrive):
-            step(world, Outcome.ANSWERED)
+    def test_calls_between_samples_are_no_difference(self):
+        """Calls that progress between the two samples are no difference."""
+        simulation = run(Simulation.send, Simulation.arrive)
+        first = simulation.sample()
+        for step in (
+            Simulation.end,
+            Simulation.receive,
+            Simulation.send,
+            Simulation.arrive,
+        ):
+            step(simulation, Outcome.ANSWERED)
 
-        assert not reconcile(first, world.reading())
+        assert not reconcile(first, simulation.sample())
 
     def test_answer_that_no_node_gave_is_a_difference(self):
-        """A caller was answered more often than nodes answered."""
-        world = run(World.send, World.arrive, World.end, World.receive)
-        world.node = Account('n1', 'a', 0)
+        """Callers count more answers than nodes gave."""
+        simulation = run(
+            Simulation.send,
+            Simulation.arrive,
+            Simulation.end,
+            Simulation.receive,
+        )
+        simulation.node = Account('n1', 'a', 0)
 
-        difference = only(reconcile(world.reading()))
+        difference = only(reconcile(simulation.sample()))
 
         assert difference.claim == 'at callers answered <= answered at nodes'
         assert not difference.is_explained
 
-    def test_hole_explains_missing_answers(self):
-        """Answers that a lost node gave are missed, and the hole says why."""
-        world = run(World.send, World.arrive, World.end, World.receive)
-        world.node = Account('n1', 'a', 0)
+    def test_gap_explains_missing_answers(self):
+        """Missing answers of a lost node are explained by the gap."""
+        simulation = run(
+            Simulation.send,
+            Simulation.arrive,
+            Simulation.end,
+            Simulation.receive,
+        )
+        simulation.node = Account('n1', 'a', 0)
 
-        found = reconcile(world.reading(services_with_gaps=['balances']))
+        found = reconcile(simulation.sample(services_with_gaps=['balances']))
 
         assert only(found).is_explained
 
     def test_false_not_run_is_a_difference(self):
-        """A caller that says not run of what a node ran is found out."""
-        world = run(World.send, World.arrive, World.end)
-        world.caller.ended(*CALL, Outcome.NOT_RUN, ran=True)
+        """A caller that counts as not run what a node ran is reported."""
+        simulation = run(Simulation.send, Simulation.arrive, Simulation.end)
+        simulation.caller.ended(*CALL, Outcome.NOT_RUN, ran=True)
 
-        claims = [found.claim for found in reconcile(world.reading())]
+        claims = [found.claim for found in reconcile(simulation.sample())]
 
         assert 'at callers told not run <= refused at nodes' in claims
 
     def test_call_that_no_caller_sent_is_a_difference(self):
-        """More arrived at a node than callers sent."""
-        world = run(World.send, World.arrive)
-        world.node.arrived(*CALL)
+        """More calls arrived at a node than callers sent."""
+        simulation = run(Simulation.send, Simulation.arrive)
+        simulation.node.arrived(*CALL)
 
-        difference = only(reconcile(world.reading()))
+        difference = only(reconcile(simulation.sample()))
 
         assert difference.claim == 'at nodes arrived <= sent by callers'
         assert not difference.is_explained
@@ -175,32 +190,37 @@
         [(5, True), (10, True), (11, False)],
     )
     def test_late_report_explains(self, callers_taken_at, is_explained):
-        """Callers that have not reported since the nodes may have sent it."""
-        world = run(World.send, World.arrive, World.end, World.receive)
-        first = world.reading(nodes_taken_at=10)
-        world.node.arrived(*CALL)
-        world.node.ended(*CALL, Outcome.ANSWERED, ran=True)
-        first.nodes = world.reading().nodes
+        """A call may come from a caller that has not reported since."""
+        simulation = run(
+            Simulation.send,
+            Simulation.arrive,
+            Simulation.end,
+            Simulation.receive,
+        )
+        first = simulation.sample(nodes_taken_at=10)
+        simulation.node.arrived(*CALL)
+        simulation.node.ended(*CALL, Outcome.ANSWERED, ran=True)
+        first.nodes = simulation.sample().nodes
 
         found = reconcile(
             first,
-            world.reading(callers_taken_at=callers_taken_at),
+            simulation.sample(callers_taken_at=callers_taken_at),
         )
 
         assert found
         assert {one.is_explained for one in found} == {is_explained}
 
     def test_service_that_no_caller_reports_is_explained(self):
-        """Without any caller's figures of a service nothing is claimed."""
-        world = run(World.send, World.arrive)
-        world.caller = Account('phone', 'a', 0, role=Role.CALLER)
+        """Without reports of callers a difference is explained."""
+        simulation = run(Simulation.send, Simulation.arrive)
+        simulation.caller = Account('phone', 'a', 0, role=Role.CALLER)
 
-        assert only(reconcile(world.reading())).is_explained
+        assert only(reconcile(simulation.sample())).is_explained
 
     def test_external_callers_are_left_out(self):
-        """Calls of callers that keep no account are no difference."""
-        world = World()
-        world.node.arrived(*CALL, is_external=True)
-        world.node.ended(*CALL, Outcome.ANSWERED, ran=True)
+        """Calls of callers that report no account are no difference."""
+        simulation = Simulation()
+        simulation.node.arrived(*CALL, is_external=True)
+        simulation.node.ended(*CALL, Outcome.ANSWERED, ran=True)
 
-        assert not reconcile(world.reading())
+        assert not reconcile(simulation.sample())
--- a/tests/account/test_snapshot.py
+++ b/tests/account/test_snapshot.py
@@ -1,4 +1,4 @@
-"""The wire form of snapshots."""
+"""Tests of encoding and decoding snapshots."""
 
 from base64 import b64encode
 from types import MappingProxyType
@@ -29,22 +29,22 @@
 )
 
 
-def packed(raw):
-    """Return bytes in the wire form of a snapshot."""
+def compressed_json(raw):
+    """Return bytes compressed and encoded like a snapshot."""
     return orjson.dumps(b64encode(compress(raw)).decode())
 
 
 class TestDecodeSnapshot:
-    """Decoding."""
+    """Decoding of snapshots."""
 
     @given(snapshot=SNAPSHOTS)
     def test_round_trip(self, snapshot):
-        """A snapshot survives the wire unchanged."""
+        """A snapshot is unchanged by encoding and decoding."""
         assert decode_snapshot(encode_snapshot(snapshot)) == snapshot
 
     @given(snapshot=SNAPSHOTS)
     def test_wire_form_may_stand_in_a_message(self, snapshot):
-        """The wire form is itself JSON, and the same after a relay."""
+        """The encoding is JSON and may be parsed and written again."""
         raw = encode_snapshot(snapshot)
         message = orjson.dumps({'accounts': [orjson.Fragment(raw)]})
 
@@ -54,20 +54,22 @@
 
     @given(raw=st.binary(max_size=40))
     def test_noise_is_a_typed_error(self, raw):
-        """Arbitrary bytes are refused with the typed error."""
+        """Arbitrary bytes raise ``MalformedSnapshotError``."""
         with pytest.raises(MalformedSnapshotError):
             decode_snapshot(raw)
 
     @given(raw=st.binary(max_size=40))
     def test_packed_noise_is_a_typed_error(self, raw):
-        """Arbitrary bytes, well packed, are refused with the typed error."""
+        """Compressed arbitrary bytes raise ``MalformedSnapshotError``."""
         with pytest.raises(MalformedSnapshotError):
-            decode_snapshot(packed(raw))
+            decode_snapshot(compressed_json(raw))
 
     def test_bomb_is_refused(self):
-        """A small message that unpacks to a huge one is not unpacked."""
+        """A message that decompresses beyond the limit is refused."""
         snapshot = AccountSnapshot(**FIELDS)
-        bomb = packed(orjson.dumps(snapshot.as_dict()).ljust(50_000_000))
+        bomb = compressed_json(
+            orjson.dumps(snapshot.as_dict()).ljust(50_000_000)
+        )
 
         with pytest.raises(MalformedSnapshotError):
             decode_snapshot(bomb)
@@ -86,6 +88,6 @@
         ],
     )
     def test_bad_fields_are_refused(self, change):
-        """A field of the wrong type or range is refused."""
+        """An unknown, mistyped or out-of-range field is refused."""
         with pytest.raises(MalformedSnapshotError):
             snapshot_from_dict(FIELDS | change)
