--- a/src/lovageshunt/calls/__init__.py
+++ b/src/lovageshunt/calls/__init__.py
@@ -1,4 +1,4 @@
-"""What travels with a call and with its answer, hop to hop."""
+"""Metadata of calls and answers, passed between hops in headers."""
 
 from lovageshunt.calls._answer import AnswerInfo, LoadReport
 from lovageshunt.calls._codec import (
--- a/src/lovageshunt/calls/_answer.py
+++ b/src/lovageshunt/calls/_answer.py
@@ -1,4 +1,4 @@
-"""What an answer says beside its body."""
+"""Metadata that accompanies the body of an answer."""
 
 from lovageshunt._record import Record
 from lovageshunt.calls._context import HomeNode
@@ -6,10 +6,10 @@
 
 
 class LoadReport(Record):
-    """A target's load as its node saw it when the answer left.
+    """A target's load, as known to its node when the answer was sent.
 
-    ``running`` and ``waiting`` count calls, ``limit`` is the concurrency
-    limit in force, ``service_ms`` a typical time of service.
+    ``running`` and ``waiting`` are numbers of calls, ``limit`` is the
+    current concurrency limit and ``service_ms`` a typical service time.
     """
 
     __slots__ = ('running', 'waiting', 'limit', 'service_ms')
@@ -22,7 +22,6 @@
         limit: int,
         service_ms: float,
     ) -> None:
-        """Take the four readings."""
         self.running = running
         self.waiting = waiting
         self.limit = limit
@@ -30,14 +29,16 @@
 
 
 class AnswerInfo(Record):
-    """The control part of an answer.
+    """The control metadata of an answer.
 
-    ``call_id`` must equal the call's own. ``unspent`` gives back retries of
-    the share. ``threshold_by_service`` tells callers which levels the
-    services below refuse. ``retry_after_ms`` says when to come back and is
-    always above 0 unless the outcome is ``ANSWERED``. ``home`` is the stamp
-    that the node put on a call that must run at most once, ``calls_below`` is
-    false for a service that calls no other.
+    ``call_id`` must equal that of the call. ``unspent`` is the number of
+    allotted retries that were not used. ``threshold_by_service`` holds the
+    admission thresholds of downstream services. ``retry_after_ms`` is the
+    time to wait before a retry, above 0 unless the outcome is ``ANSWERED``.
+    ``home`` is the node to which the call is bound if it must run at most
+    once, ``body_length`` is in bytes, ``suspicion`` counts the targets that
+    failed while running the call, and ``calls_below`` is false for a service
+    that calls no other.
     """
 
     __slots__ = (
@@ -69,7 +70,6 @@
         suspicion: int = 0,
         calls_below: bool = True,
     ) -> None:
-        """Take every field by name; the defaults suit a plain answer."""
         self.call_id = call_id
         self.outcome = outcome
         self.reason = reason
--- a/src/lovageshunt/calls/_codec.py
+++ b/src/lovageshunt/calls/_codec.py
@@ -1,4 +1,4 @@
-"""The wire form of contexts and answers: one compact JSON header each."""
+"""Encoding of contexts and answer metadata as one JSON header each."""
 
 import json
 from typing import Any, Final
@@ -14,11 +14,11 @@
 
 #: The request header that carries a call's context.
 CONTEXT_HEADER: Final = 'lovageshunt-context'
-#: The response header that carries the control part of an answer.
+#: The response header that carries the control metadata of an answer.
 ANSWER_HEADER: Final = 'lovageshunt-answer'
-#: A header longer than this is refused unread.
+#: A longer header is refused without being parsed.
 _MAX_HEADER_BYTES: Final = 4096
-#: No counter on the wire may be larger.
+#: Maximum value of any count or duration in a context.
 _MAX_COUNT: Final = 2**31
 
 _TAG: Final = 'tag'
@@ -44,50 +44,51 @@
     context: CallContext,
     key: ContextKey | None = None,
 ) -> str:
-    """Return the header's value for a context; all of it is ASCII.
+    """Return the ASCII header value of a context.
 
-    With a key it carries a tag, by which other holders know it.
+    With a key the header includes a tag that other holders can verify.
     """
     fields = context.as_dict()
     if key is not None:
         fields[_TAG] = key.tag(context)
     if context.home is not None:
         fields['home'] = context.home.as_dict()
-    return _dump(fields)
+    return _encode_fields(fields)
 
 
 def decode_context(header: str | bytes) -> CallContext:
-    """Return the context in a header, whoever made it.
+    """Return the context in a header without verifying its tag.
 
-    Raises ``MalformedContextError`` when it is no context or a field is out
-    of its range.
+    Raises ``MalformedContextError`` when the header cannot be decoded or a
+    field is out of range.
     """
-    return _decode(header)[0]
+    return _decode_tagged(header)[0]
 
 
 def decode_and_verify_context(
     header: str | bytes,
     key: ContextKey | None,
 ) -> tuple[CallContext, bool]:
-    """Return the context, and whether its importance may be believed.
+    """Return the context, and whether its importance is trusted.
 
-    Without a key every context is believed. Raises as ``decode_context``.
+    It is trusted when its tag is valid, or always if ``key`` is ``None``.
+    Raises ``MalformedContextError`` like ``decode_context``.
     """
-    context, tag = _decode(header)
-    return context, key is None or key.has_made(tag, context)
+    context, tag = _decode_tagged(header)
+    return context, key is None or key.verify(tag, context)
 
 
-def _decode(header: str | bytes) -> tuple[CallContext, str]:
+def _decode_tagged(header: str | bytes) -> tuple[CallContext, str]:
     try:
-        fields = _load(header)
+        fields = _decode_fields(header)
     except ValueError as error:
         raise MalformedContextError(str(error)) from error
     for name in (*_TEXT_FIELDS, _TAG):
         if not isinstance(fields.get(name, ''), str):
-            raise MalformedContextError(f'{name} is no text')
+            raise MalformedContextError(f'{name} is not a string')
     for name in _COUNT_FIELDS:
         _check_count(name, fields.get(name, 0))
-    _check_level(fields)
+    _check_level_range(fields)
     tag = fields.pop(_TAG, '')
     try:
         return _context_of(fields), tag
@@ -96,27 +97,28 @@
 
 
 def encode_answer(info: AnswerInfo) -> str:
-    """Return the header's value for the control part of an answer."""
+    """Return the ASCII header value of an answer's control metadata."""
     fields = info.as_dict()
     if info.load is not None:
         fields['load'] = info.load.as_dict()
     if info.home is not None:
         fields['home'] = info.home.as_dict()
-    return _dump(fields)
+    return _encode_fields(fields)
 
 
 def decode_answer(header: str | bytes, call_id: str) -> AnswerInfo:
-    """Return the control part of the answer to one call.
+    """Return the control metadata of the answer to one call.
 
-    Raises ``MalformedAnswerError`` when it is none, or another call's.
+    Raises ``MalformedAnswerError`` when the header cannot be decoded or
+    belongs to another call.
     """
     try:
-        info = _answer_of(_load(header))
+        info = _answer_of(_decode_fields(header))
     except (TypeError, ValueError) as error:
         raise MalformedAnswerError(str(error)) from error
     if info.call_id != call_id:
         raise MalformedAnswerError(
-            f'it answers call {info.call_id!r}, not {call_id!r}',
+            f'expected call {call_id!r}, got {info.call_id!r}',
         )
     return info
 
@@ -143,30 +145,30 @@
 
 def _check_count(name: str, count: object) -> None:
     if isinstance(count, bool) or not isinstance(count, int):
-        raise MalformedContextError(f'{name} is no whole number')
+        raise MalformedContextError(f'{name} is not an integer')
     if not 0 <= count <= _MAX_COUNT:
-        raise MalformedContextError(f'{name} is out of range')
+        raise MalformedContextError(f'{name} is out of range 0 to {_MAX_COUNT}')
 
 
-def _check_level(fields: dict[str, Any]) -> None:
+def _check_level_range(fields: dict[str, Any]) -> None:
     if fields.get('importance', 0) > LOWEST_IMPORTANCE:
-        raise MalformedContextError('importance is out of range')
+        raise MalformedContextError(f'importance is above {LOWEST_IMPORTANCE}')
     if fields.get('rank', 0) >= RANK_COUNT:
-        raise MalformedContextError('rank is out of range')
+        raise MalformedContextError(f'rank is not below {RANK_COUNT}')
 
 
-def _dump(fields: dict[str, Any]) -> str:
+def _encode_fields(fields: dict[str, Any]) -> str:
     dumped = orjson.dumps(fields).decode('utf-8')
     if dumped.isascii():
         return dumped
-    # Names in rules may be in any script, and headers are ASCII.
+    # Names in rules may contain any Unicode characters; headers are ASCII.
     return json.dumps(fields)
 
 
-def _load(header: str | bytes) -> dict[str, Any]:
+def _decode_fields(header: str | bytes) -> dict[str, Any]:
     if len(header) > _MAX_HEADER_BYTES:
         raise ValueError(f'longer than {_MAX_HEADER_BYTES} bytes')
     fields = orjson.loads(header)
     if not isinstance(fields, dict):
-        raise ValueError('no JSON object')
+        raise ValueError('expected a JSON object')
     return fields
--- a/src/lovageshunt/calls/_context.py
+++ b/src/lovageshunt/calls/_context.py
@@ -1,30 +1,30 @@
-"""The context that a call carries from hop to hop."""
+"""The context that is passed with a call from hop to hop."""
 
 from lovageshunt._record import Record
 from lovageshunt.calls._importance import level_of
 
 
 class HomeNode(Record):
-    """The one node and incarnation that may run a call that never repeats."""
+    """The only node and incarnation that may run an at-most-once call."""
 
     __slots__ = ('node', 'incarnation')
 
     def __init__(self, *, node: str, incarnation: str) -> None:
-        """Name the node and its incarnation."""
         self.node = node
         self.incarnation = incarnation
 
 
 class CallContext(Record):
-    """What a call carries.
+    """The identity, priority, deadline and retry budget of a call.
 
-    ``request_id`` names the root request and ``call_id`` this call of it;
-    a retry keeps both and raises ``attempt``, which is 0 when the caller
-    sent none. ``timeout_ms`` is the time left for the answer and ``age_ms``
-    the time since the root request began, both on the sender's clock, so no
-    two clocks are compared. ``retries_left`` is this call's share of the
-    root's allowance. ``home`` is set for calls that must run at most once.
-    ``suspicion`` counts the targets that went down while running it.
+    ``request_id`` identifies the root request and ``call_id`` this call of
+    it; a retry keeps both and increments ``attempt``, which is 0 when the
+    caller sent none. ``timeout_ms`` is the time left for the answer and
+    ``age_ms`` the time since the root request began. Both are durations on
+    the sender's clock, so that clocks need not be synchronised.
+    ``retries_left`` is this call's share of the root's retry budget. ``home``
+    is set for calls that must run at most once. ``suspicion`` counts the
+    targets that failed while running the call.
     """
 
     __slots__ = (
@@ -60,7 +60,6 @@
         suspicion: int = 0,
         trace_parent: str = '',
     ) -> None:
-        """Take every field by name; the defaults suit a first attempt."""
         self.request_id = request_id
         self.call_id = call_id
         self.caller = caller
@@ -77,5 +76,5 @@
 
     @property
     def level(self) -> int:
-        """Return the level that admission compares with its threshold."""
+        """Return the priority level that admission compares to a threshold."""
         return level_of(self.importance, self.rank)
--- a/src/lovageshunt/calls/_importance.py
+++ b/src/lovageshunt/calls/_importance.py
@@ -1,19 +1,19 @@
-"""The order in which calls are refused under overload.
+"""Priority levels, which order the refusal of calls under overload.
 
 A root request has an importance (0 is refused last) and a rank, a hash of
-its id. Both are inherited by every call below it, so that each hop reaches
-the same verdict about one request.
+its id. All of its downstream calls inherit both, so that every hop makes
+the same admission decision for one request.
 """
 
 from typing import Final
 
 from xxhash import xxh3_64_intdigest
 
-#: The importance that is refused last.
+#: The importance whose calls are refused last.
 HIGHEST_IMPORTANCE: Final = 0
-#: The importance that is refused first.
+#: The importance whose calls are refused first.
 LOWEST_IMPORTANCE: Final = 7
-#: How many ranks there are within one importance.
+#: Number of ranks within one importance.
 RANK_COUNT: Final = 65536
 
 
@@ -23,8 +23,8 @@
 
 
 def level_of(importance: int, rank: int) -> int:
-    """Return the level of a call; calls of a higher level are refused first.
+    """Return the level of a call; higher levels are refused first.
 
-    A hop under pressure holds one threshold: it admits the levels below it.
+    An overloaded hop has one threshold and admits the levels below it.
     """
     return importance * RANK_COUNT + rank
--- a/src/lovageshunt/calls/_outcome.py
+++ b/src/lovageshunt/calls/_outcome.py
@@ -1,15 +1,15 @@
-"""How a call ended, as its caller may rely on it."""
+"""The outcomes of a call that are guaranteed to its caller."""
 
 from enum import StrEnum
 
 
 class Outcome(StrEnum):
-    """The four ends of a call; they are never merged.
+    """The four possible outcomes of a call.
 
-    ``ANSWERED``: the whole answer arrived. ``NOT_RUN``: nothing of the call
-    was dispatched by any attempt, here or below. ``FAILED``: some of it ran
-    and it is certain that no complete answer will come. ``UNKNOWN``: it may
-    have run, be running or run later.
+    ``ANSWERED``: the complete answer arrived. ``NOT_RUN``: no attempt
+    dispatched any part of the call, here or downstream. ``FAILED``: a part
+    of it ran and no complete answer will arrive. ``UNKNOWN``: it may have
+    run, be running or run later.
     """
 
     ANSWERED = 'answered'
@@ -19,7 +19,7 @@
 
 
 class RefusalReason(StrEnum):
-    """Why a call was given up on; the account counts by these."""
+    """Why a call was refused or abandoned; the account counts by these."""
 
     OVERLOAD = 'overload'
     QUEUE_FULL = 'queue_full'
--- a/tests/calls/test_codec.py
+++ b/tests/calls/test_codec.py
@@ -1,4 +1,4 @@
-"""The wire form of contexts and answers."""
+"""Tests of encoding and decoding the context and answer headers."""
 
 import pytest
 from hypothesis import given
@@ -30,7 +30,7 @@
         home=st.none() | st.just(HomeNode(node='n1', incarnation='a')),
     )
     def test_round_trip(self, request_id, importance, rank, attempt, home):
-        """A context survives the wire unchanged."""
+        """A context is unchanged by encoding and decoding."""
         context = CallContext(
             request_id=request_id,
             call_id='c',
@@ -44,7 +44,7 @@
         assert decode_context(encode_context(context)) == context
 
     def test_any_script_stays_ascii(self):
-        """Names in rules may be in any script; headers are ASCII."""
+        """Non-ASCII names are encoded as ASCII, as headers require."""
         context = CallContext(
             request_id='r',
             call_id='c',
@@ -61,7 +61,7 @@
 
     @given(header=st.binary(max_size=60))
     def test_noise_is_a_typed_error(self, header):
-        """Arbitrary bytes are refused with the typed error."""
+        """Arbitrary bytes raise ``MalformedContextError``."""
         with pytest.raises(MalformedContextError):
             decode_context(header)
 
@@ -80,7 +80,7 @@
         ],
     )
     def test_bad_fields_are_refused(self, header):
-        """A field of the wrong type or range is refused."""
+        """A header with an invalid field, or an oversized one, is refused."""
         with pytest.raises(MalformedContextError):
             decode_context(header)
 
@@ -89,7 +89,7 @@
     """The answer header."""
 
     def test_round_trip(self):
-        """An answer survives the wire unchanged."""
+        """An answer is unchanged by encoding and decoding."""
         info = AnswerInfo(
             call_id='c',
             outcome=Outcome.NOT_RUN,
@@ -103,7 +103,7 @@
         assert decode_answer(encode_answer(info), 'c') == info
 
     def test_answer_to_another_call_is_refused(self):
-        """An answer that names another call is never taken."""
+        """An answer with another call's id is never accepted."""
         info = AnswerInfo(call_id='other', outcome=Outcome.ANSWERED)
 
         with pytest.raises(MalformedAnswerError):
