--- a/src/lovageshunt/charts/__init__.py
+++ b/src/lovageshunt/charts/__init__.py
@@ -1,4 +1,4 @@
-"""State charts in files, and the adapter that runs them."""
+"""State charts, defined in JSON files, and instances that follow them."""
 
 from lovageshunt.charts._chart import (
     Chart,
--- a/src/lovageshunt/charts/_chart.py
+++ b/src/lovageshunt/charts/_chart.py
@@ -1,4 +1,4 @@
-"""State charts read from files, and lives that follow them."""
+"""State charts read from JSON files, and instances that follow them."""
 
 from collections.abc import Collection, Mapping
 from functools import cache
@@ -20,9 +20,9 @@
 
 
 class Chart:
-    """A checked state chart: which event leads from which state to which.
+    """A state chart, validated by ``parse_chart``.
 
-    ``next_state_by_step`` maps a pair of state and event to the next state.
+    ``next_state_by_step`` maps pairs of state and event to the next state.
     """
 
     __slots__ = ('name', 'initial', 'states', 'events', 'next_state_by_step')
@@ -36,7 +36,6 @@
         events: Collection[str],
         next_state_by_step: Mapping[tuple[str, str], str],
     ) -> None:
-        """Keep the table; ``parse_chart`` checks it."""
         self.name = name
         self.initial = initial
         self.states = frozenset(states)
@@ -44,14 +43,14 @@
         self.next_state_by_step = dict(next_state_by_step)
 
     def start(self) -> str:
-        """Return the state in which every life begins."""
+        """Return the initial state."""
         return self.initial
 
     def next_state(self, state: str, event: str) -> str | None:
-        """Return where ``event`` leads from ``state``.
+        """Return the state that follows ``state`` upon ``event``.
 
-        Returns ``None`` when the state does not take the event. Raises
-        ``UnknownChartEventError`` when no state of the chart takes it.
+        Returns ``None`` when the state has no transition for the event.
+        Raises ``UnknownChartEventError`` when the chart lacks the event.
         """
         target = self.next_state_by_step.get((state, event))
         if target is None and event not in self.events:
@@ -60,19 +59,19 @@
 
 
 class ChartInstance:
-    """One thing's way through a chart."""
+    """The current state of one object that follows a chart."""
 
     __slots__ = ('chart', 'state')
 
     def __init__(self, chart: Chart) -> None:
-        """Begin in the chart's initial state."""
         self.chart = chart
         self.state = chart.start()
 
     def step(self, event: str) -> bool:
-        """Follow an event; return whether the present state takes it.
+        """Follow an event; return whether the state has a transition for it.
 
-        Raises ``UnknownChartEventError`` when no state of the chart does.
+        The state is unchanged if it has none. Raises
+        ``UnknownChartEventError`` when the chart lacks the event.
         """
         target = self.chart.next_state(self.state, event)
         if target is None:
@@ -83,10 +82,10 @@
 
 @cache
 def load_chart(name: str) -> Chart:
-    """Return the chart in ``charts/<name>.json``, checked.
+    """Return the validated chart of ``charts/<name>.json``.
 
     Raises ``ChartNotFoundError`` when there is no such file and
-    ``MalformedChartError`` when the chart has a fault.
+    ``MalformedChartError`` when the chart is invalid.
     """
     source = files('lovageshunt.charts').joinpath(f'{name}.json')
     try:
@@ -97,46 +96,46 @@
 
 
 def parse_chart(name: str, text: str) -> Chart:
-    """Return the chart in a JSON text.
+    """Return the validated chart of a JSON text.
 
-    Raises ``MalformedChartError`` when the text is no chart, names a state
-    or event that is not declared, tells a step twice, or has a state that
-    cannot be reached, one that cannot be left though it is not final, or an
-    event that no state takes.
+    Raises ``MalformedChartError`` when the text is not a chart, refers to an
+    undeclared state or event, defines a transition twice, or has an
+    unreachable state, a state without exit that is not final, or an event
+    without a transition.
     """
-    fields = _fields_of(name, text)
+    fields = _parse_fields(name, text)
     chart = Chart(
         name=name,
         initial=fields['initial'],
         states=fields['states'],
         events=fields['events'],
-        next_state_by_step=_steps_of(name, fields['transitions']),
+        next_state_by_step=_next_states(name, fields['transitions']),
     )
-    faults = _faults_of(chart, frozenset(fields['final']))
+    faults = _find_faults(chart, frozenset(fields['final']))
     if faults:
         raise MalformedChartError(name, '; '.join(faults))
     return chart
 
 
-def _fields_of(name: str, text: str) -> dict[str, Any]:
+def _parse_fields(name: str, text: str) -> dict[str, Any]:
     try:
         fields = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise MalformedChartError(name, f'{error}; mend the JSON') from error
+        raise MalformedChartError(name, f'{error}; correct the JSON') from error
     if not isinstance(fields, dict) or _CHART_KEYS - fields.keys():
         raise MalformedChartError(
             name,
-            f'it must be an object with the keys {sorted(_CHART_KEYS)}',
+            f'expected an object with the keys {sorted(_CHART_KEYS)}',
         )
     if fields['name'] != name:
         raise MalformedChartError(
             name,
-            f'it calls itself {fields["name"]!r}; name it as its file',
+            f'its name is {fields["name"]!r}; use the name of its file',
         )
     return fields
 
 
-def _steps_of(
+def _next_states(
     name: str,
     transitions: list[dict[str, Any]],
 ) -> dict[tuple[str, str], str]:
@@ -153,16 +152,16 @@
             if step in next_state_by_step:
                 raise MalformedChartError(
                     name,
-                    f'the step {step} is told twice; keep one transition',
+                    f'transition {step} is defined twice; keep one of them',
                 )
             next_state_by_step[step] = transition['to']
     return next_state_by_step
 
 
-def _faults_of(chart: Chart, final: frozenset[str]) -> list[str]:
+def _find_faults(chart: Chart, final: frozenset[str]) -> list[str]:
     return [
         *_unknown_states(chart, final),
-        *_wrong_events(chart),
+        *_unknown_or_unused_events(chart),
         *_unreachable_states(chart),
         *_dead_ends(chart, final),
     ]
@@ -170,48 +169,48 @@
 
 def _unknown_states(chart: Chart, final: frozenset[str]) -> list[str]:
     sources = {state for state, _ in chart.next_state_by_step}
-    named = sources.union(chart.next_state_by_step.values(), final)
+    referenced = sources.union(chart.next_state_by_step.values(), final)
     return [
-        f'the state {state!r} is unknown, list it in states or mend its name'
-        for state in sorted({chart.initial, *named} - chart.states)
+        f'the state {state!r} is unknown, add it to states or correct it'
+        for state in sorted({chart.initial, *referenced} - chart.states)
     ]
 
 
-def _wrong_events(chart: Chart) -> list[str]:
-    taken = {event for _, event in chart.next_state_by_step}
+def _unknown_or_unused_events(chart: Chart) -> list[str]:
+    used = {event for _, event in chart.next_state_by_step}
     unknown = [
-        f'the event {event!r} is unknown, list it in events or mend its name'
-        for event in sorted(taken - chart.events)
+        f'the event {event!r} is unknown, add it to events or correct it'
+        for event in sorted(used - chart.events)
     ]
-    idle = [
-        f'no state takes the event {event!r}, add a transition or remove it'
-        for event in sorted(chart.events - taken)
+    unused = [
+        f'no transition has the event {event!r}, add one or remove the event'
+        for event in sorted(chart.events - used)
     ]
-    return unknown + idle
+    return unknown + unused
 
 
 def _unreachable_states(chart: Chart) -> list[str]:
-    reached = {chart.initial}
-    grown = True
-    while grown:
+    reachable = {chart.initial}
+    has_grown = True
+    while has_grown:
         found = {
             target
             for (source, _), target in chart.next_state_by_step.items()
-            if source in reached
+            if source in reachable
         }
-        grown = not found <= reached
-        reached |= found
+        has_grown = not found <= reachable
+        reachable |= found
     return [
-        f'the state {state!r} cannot be reached, add a transition to it or '
+        f'the state {state!r} is unreachable, add a transition to it or '
         'remove it'
-        for state in sorted(chart.states - reached)
+        for state in sorted(chart.states - reachable)
     ]
 
 
 def _dead_ends(chart: Chart, final: frozenset[str]) -> list[str]:
     sources = {state for state, _ in chart.next_state_by_step}
     return [
-        f'no event leaves the state {state!r}, add a transition or list it '
-        'as final'
+        f'no transition leaves the state {state!r}, add one or list the '
+        'state as final'
         for state in sorted(chart.states - sources - final)
     ]
--- a/tests/charts/test_chart.py
+++ b/tests/charts/test_chart.py
@@ -1,4 +1,4 @@
-"""Charts are checked when they are read, and lives follow them."""
+"""Tests of validating state charts and of instances that follow them."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 def chart_text(**changes: Any) -> str:
-    """Return a sound chart's text with some keys changed."""
+    """Return the JSON of a valid chart with some keys replaced."""
     fields = {
         'name': 'door',
         'states': ['open', 'shut'],
@@ -34,7 +34,7 @@
 
 
 class TestParseChart:
-    """What makes a chart's text sound."""
+    """Validation of a chart's JSON."""
 
     @pytest.mark.parametrize(
         ('changes', 'fault'),
@@ -42,16 +42,19 @@
             ({'states': ['open']}, "'shut' is unknown"),
             ({'initial': 'ajar'}, "'ajar' is unknown"),
             ({'final': ['gone']}, "'gone' is unknown"),
-            ({'states': ['open', 'shut', 'ajar']}, "'ajar' cannot be reached"),
+            ({'states': ['open', 'shut', 'ajar']}, "'ajar' is unreachable"),
             ({'events': ['close']}, "event 'open' is unknown"),
-            ({'events': ['close', 'open', 'knock']}, "takes the event 'knock'"),
+            (
+                {'events': ['close', 'open', 'knock']},
+                "no transition has the event 'knock'",
+            ),
             (
                 {'transitions': ONE_WAY, 'events': ['close']},
-                "no event leaves the state 'shut'",
+                "no transition leaves the state 'shut'",
             ),
-            ({'transitions': TWICE}, 'told twice'),
+            ({'transitions': TWICE}, 'defined twice'),
             ({'transitions': [{'event': 'x'}]}, 'must have the keys'),
-            ({'name': 'gate'}, 'name it as its file'),
+            ({'name': 'gate'}, 'use the name of its file'),
         ],
     )
     def test_each_fault_is_named(
@@ -59,51 +62,51 @@
         changes: dict[str, Any],
         fault: str,
     ) -> None:
-        """A faulty chart is refused with the fault and its remedy."""
+        """An invalid chart is refused with the fault and its remedy."""
         with pytest.raises(MalformedChartError, match=fault):
             parse_chart('door', chart_text(**changes))
 
     @pytest.mark.parametrize('text', ['{', '[]', '{"name": "door"}'])
-    def test_no_chart(self, text: str) -> None:
-        """A text that is no chart at all is refused."""
+    def test_text_without_chart_is_refused(self, text: str) -> None:
+        """A text that is not a chart is refused."""
         with pytest.raises(MalformedChartError):
             parse_chart('door', text)
 
 
 class TestLoadChart:
-    """The charts that come with the package."""
+    """The charts of the package."""
 
     @pytest.mark.parametrize(
         ('name', 'initial'),
         [('node', 'starting'), ('target', 'unknown')],
     )
     def test_packaged_charts_are_sound(self, name: str, initial: str) -> None:
-        """Each chart of the package loads and begins where it should."""
+        """Each chart of the package loads, with the expected initial state."""
         assert load_chart(name).start() == initial
 
     def test_missing_chart(self) -> None:
-        """A name without a file is refused with the file to add."""
+        """The error for an unknown name states the file to add."""
         with pytest.raises(ChartNotFoundError, match='add nothing.json'):
             load_chart('nothing')
 
 
-class TestLife:
-    """One thing's way through a chart."""
+class TestChartInstance:
+    """Steps of an instance."""
 
     def test_follows_the_chart(self) -> None:
-        """An event that the state takes leads to the next state."""
-        life = ChartInstance(load_chart('node'))
-        assert life.step('serve')
-        assert life.state == 'serving'
-
-    def test_event_not_taken(self) -> None:
-        """An event that the state does not take changes nothing."""
-        life = ChartInstance(load_chart('node'))
-        life.step('leave')
-        assert not life.step('serve')
-        assert life.state == 'leaving'
+        """An event with a transition leads to the next state."""
+        instance = ChartInstance(load_chart('node'))
+        assert instance.step('serve')
+        assert instance.state == 'serving'
+
+    def test_event_without_transition(self) -> None:
+        """An event without a transition leaves the state unchanged."""
+        instance = ChartInstance(load_chart('node'))
+        instance.step('leave')
+        assert not instance.step('serve')
+        assert instance.state == 'leaving'
 
     def test_unknown_event(self) -> None:
-        """An event that no state takes is an error that lists the events."""
+        """An event that the chart lacks is an error that lists its events."""
         with pytest.raises(UnknownChartEventError, match='settle'):
             ChartInstance(load_chart('node')).step('explode')
