--- a/src/lovageshunt/__init__.py
+++ b/src/lovageshunt/__init__.py
@@ -1,9 +1,10 @@
 """Overload control for call graphs of services.
 
-The decisions (``rules``, ``membership``, ``routing``, ``admission``,
-``retries``, ``idempotency``, ``account``) are pure: they take the time, a
-random source and an event, and return typed actions. The daemon in ``node``
-and the library in ``client`` turn sockets and timers into those events.
+The decision logic (``rules``, ``membership``, ``routing``, ``admission``,
+``retries``, ``idempotency``, ``account``) does no I/O: it is given the time,
+a random source and an event, and returns typed actions. The daemon in
+``node`` and the library in ``client`` translate socket and timer activity
+into those events.
 """
 
 __version__ = '0.1.0'
--- a/src/lovageshunt/_record.py
+++ b/src/lovageshunt/_record.py
@@ -1,20 +1,20 @@
-"""The base class of typed messages: plain classes with slots."""
+"""The base class of typed messages, which are plain classes with slots."""
 
 from typing import Any
 
 
 class Record:
-    """Give a class with slots equality and a readable representation.
+    """Adds equality and a ``repr`` to a class with slots.
 
-    A subclass names its fields in ``__slots__`` and assigns each of them in
-    a keyword-only ``__init__``. Records are compared by type and fields, and
-    are not hashable, because most of them may change.
+    A subclass lists its fields in ``__slots__`` and assigns each of them in
+    a keyword-only ``__init__``. Records are equal if their type and fields
+    are. They are not hashable, because most of them are mutable.
     """
 
     __slots__ = ()
 
     def __eq__(self, other: object) -> bool:
-        """Compare the fields of two records of one type."""
+        """Compare type and fields."""
         if type(self) is not type(other):
             return NotImplemented
         return all(
@@ -25,20 +25,20 @@
     __hash__ = None  # type: ignore[assignment]
 
     def __repr__(self) -> str:
-        """Show the type and every field."""
-        shown = ', '.join(
+        """Format the type and all fields."""
+        fields = ', '.join(
             f'{name}={getattr(self, name)!r}' for name in self._field_names()
         )
-        return f'{type(self).__name__}({shown})'
+        return f'{type(self).__name__}({fields})'
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the fields by name, for a codec at the border."""
+        """Return the fields by name, for serialization."""
         return {name: getattr(self, name) for name in self._field_names()}
 
     @classmethod
     def _field_names(cls) -> tuple[str, ...]:
         return tuple(
             name
-            for owner in reversed(cls.__mro__)
-            for name in owner.__dict__.get('__slots__', ())
+            for base in reversed(cls.__mro__)
+            for name in base.__dict__.get('__slots__', ())
         )
--- a/src/lovageshunt/clock.py
+++ b/src/lovageshunt/clock.py
@@ -1,11 +1,14 @@
-"""The clock of the daemons and the library; decisions never read it."""
+"""The clock of the daemons and the client library.
+
+Decision logic never reads it; the time is passed with each event.
+"""
 
 from time import CLOCK_BOOTTIME, clock_gettime
 
 
 def now() -> float:
-    """Return seconds on a clock that counts the time of a suspension.
+    """Return monotonic seconds that include the time spent suspended.
 
-    It has no meaning outside this VM and never goes back.
+    The values are only comparable with others of the same VM.
     """
     return clock_gettime(CLOCK_BOOTTIME)
--- a/tests/authority.py
+++ b/tests/authority.py
@@ -1,4 +1,4 @@
-"""An authority and its certificates for loopback, for tests of TLS."""
+"""A certificate authority for loopback addresses, for tests of TLS."""
 
 from datetime import UTC, datetime, timedelta
 from ipaddress import ip_address
@@ -11,10 +11,12 @@
 
 
 class Authority:
-    """Vouches for certificates; its own is in ``path``."""
+    """A certificate authority; ``path`` is the file of its certificate.
+
+    Files are written to ``folder``.
+    """
 
     def __init__(self, folder, name):
-        """Make the authority's key and certificate."""
         self.folder = folder
         self.key = ec.generate_private_key(ec.SECP256R1())
         self.name = _name(name)
@@ -26,7 +28,7 @@
         self.path = _write(folder / f'{name}.pem', certificate)
 
     def certificate(self, name):
-        """Write a certificate for loopback; return it and its key."""
+        """Write a loopback certificate; return its path and its key's path."""
         key = ec.generate_private_key(ec.SECP256R1())
         certificate = (
             _builder(_name(name), self.name, key)
@@ -49,15 +51,15 @@
 
 
 def _builder(subject, issuer, key):
-    today = datetime.now(UTC)
+    issued_at = datetime.now(UTC)
     return (
         x509.CertificateBuilder()
         .subject_name(subject)
         .issuer_name(issuer)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(today - timedelta(days=1))
-        .not_valid_after(today + timedelta(days=1))
+        .not_valid_before(issued_at - timedelta(days=1))
+        .not_valid_after(issued_at + timedelta(days=1))
     )
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings for every test: the same verdict at every run."""
+"""Hypothesis settings that make every test run reproducible."""
 
 from hypothesis import settings
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""Passes over the tests listed in KNOWN-RED.txt, and only over these."""
+"""Pytest plugin that tolerates failures of tests in KNOWN-RED.txt only."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 
 
 def listed_tests() -> frozenset[str]:
-    """Return the ids of the tests that are known to be red."""
+    """Return the ids of the tests that are known to fail."""
     if not _LIST.exists():
         return frozenset()
     lines = _LIST.read_text(encoding='utf-8').splitlines()
@@ -21,8 +21,8 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Run the listed tests, but let the run pass without them."""
-    red = listed_tests()
+    """Mark the listed tests as expected failures."""
+    known_red = listed_tests()
     for test in items:
-        if test.nodeid in red:
+        if test.nodeid in known_red:
             test.add_marker(pytest.mark.xfail(reason='KNOWN-RED.txt'))
--- a/tests/only.py
+++ b/tests/only.py
@@ -1,12 +1,12 @@
-"""A shorthand for results that must be single."""
+"""A helper for results that must have exactly one entry."""
 
 from collections.abc import Sequence
 from typing import TypeVar
 
-Found = TypeVar('Found')
+EntryT = TypeVar('EntryT')
 
 
-def only(found: Sequence[Found]) -> Found:
-    """Return the one entry; fail when there are more or none."""
+def only(found: Sequence[EntryT]) -> EntryT:
+    """Return the single entry; fail when there are none or several."""
     assert len(found) == 1, found
     return found[0]
