--- a/bench/charts.py
+++ b/bench/charts.py
@@ -15,7 +15,7 @@
 from time import perf_counter_ns
 from typing import Any, Final
 
-from lovageshunt.charts import Chart, Life, load_chart
+from lovageshunt.charts import Chart, ChartInstance, load_chart
 
 _ROUNDS: Final = 5
 _LOOPS: Final = 2_000
@@ -35,7 +35,7 @@
 
 def lookup_life(chart: Chart) -> Step:
     """Return the step of a life that looks its chart up."""
-    return Life(chart).step
+    return ChartInstance(chart).step
 
 
 def own_machine_life(chart: Chart) -> Step:
@@ -104,7 +104,7 @@
 def _listed(chart: Chart) -> list[list[str]]:
     return [
         [event, source, target]
-        for (source, event), target in chart.target_by_step.items()
+        for (source, event), target in chart.next_state_by_step.items()
     ]
 
 
--- a/src/lovageshunt/account/__init__.py
+++ b/src/lovageshunt/account/__init__.py
@@ -1,65 +1,69 @@
-"""What was answered, refused, failed and wasted, and its balance."""
+"""Call accounting: counters by outcome, their replication and checks."""
 
 from lovageshunt.account._account import Account
-from lovageshunt.account._balance import Imbalance, balance
-from lovageshunt.account._keepers import KEEPER_COUNT, Peer, keepers_of
-from lovageshunt.account._keeping import (
-    BYTES_PER_SECOND,
-    INTERVAL_SECONDS,
-    AccountClosed,
-    AccountKeeping,
-    KeepingTick,
-    SendSnapshot,
-    SnapshotHeard,
-)
-from lovageshunt.account._kept import KeptSnapshots
+from lovageshunt.account._balance import Imbalance, find_imbalances
 from lovageshunt.account._line import (
     REQUEST_FAILED,
     AccountLine,
     Cause,
     causes_of,
-    total_of,
+    sum_by_key,
+)
+from lovageshunt.account._merge import AccountGap, MergedAccount
+from lovageshunt.account._reconcile import AccountSample, Difference, reconcile
+from lovageshunt.account._replica_peers import (
+    REPLICA_COUNT,
+    AccountPeer,
+    replica_peers,
+)
+from lovageshunt.account._replication import (
+    MAX_SNAPSHOT_BYTES_PER_SECOND,
+    SNAPSHOT_INTERVAL_SECONDS,
+    AccountClosed,
+    AccountReplicator,
+    ReplicationTick,
+    SendSnapshot,
+    SnapshotReceived,
 )
-from lovageshunt.account._merge import Hole, MergedAccount
-from lovageshunt.account._reconcile import Difference, Reading, reconcile
 from lovageshunt.account._snapshot import (
+    AccountKey,
     AccountSnapshot,
-    Owner,
     Role,
     decode_snapshot,
     encode_snapshot,
     snapshot_from_dict,
 )
+from lovageshunt.account._snapshot_store import SnapshotStore
 
 __all__ = [
-    'BYTES_PER_SECOND',
-    'INTERVAL_SECONDS',
-    'KEEPER_COUNT',
+    'MAX_SNAPSHOT_BYTES_PER_SECOND',
+    'REPLICA_COUNT',
     'REQUEST_FAILED',
+    'SNAPSHOT_INTERVAL_SECONDS',
     'Account',
     'AccountClosed',
-    'AccountKeeping',
+    'AccountGap',
+    'AccountKey',
     'AccountLine',
+    'AccountPeer',
+    'AccountReplicator',
+    'AccountSample',
     'AccountSnapshot',
     'Cause',
     'Difference',
-    'Hole',
     'Imbalance',
-    'KeepingTick',
-    'KeptSnapshots',
     'MergedAccount',
-    'Owner',
-    'Peer',
-    'Reading',
+    'ReplicationTick',
     'Role',
     'SendSnapshot',
-    'SnapshotHeard',
-    'balance',
+    'SnapshotReceived',
+    'SnapshotStore',
     'causes_of',
     'decode_snapshot',
     'encode_snapshot',
-    'keepers_of',
+    'find_imbalances',
     'reconcile',
+    'replica_peers',
     'snapshot_from_dict',
-    'total_of',
+    'sum_by_key',
 ]
--- a/src/lovageshunt/calls/__init__.py
+++ b/src/lovageshunt/calls/__init__.py
@@ -1,20 +1,20 @@
-"""What travels with a call and with its answer, hop to hop."""
+"""Metadata of calls and answers, passed between hops in headers."""
 
 from lovageshunt.calls._answer import AnswerInfo, LoadReport
 from lovageshunt.calls._codec import (
     ANSWER_HEADER,
     CONTEXT_HEADER,
+    decode_and_verify_context,
     decode_answer,
     decode_context,
-    decode_known_context,
     encode_answer,
     encode_context,
 )
-from lovageshunt.calls._context import CallContext, HomeStamp
+from lovageshunt.calls._context import CallContext, HomeNode
 from lovageshunt.calls._importance import (
+    HIGHEST_IMPORTANCE,
     LOWEST_IMPORTANCE,
     RANK_COUNT,
-    TOP_IMPORTANCE,
     level_of,
     rank_of,
 )
@@ -26,17 +26,17 @@
     'CONTEXT_HEADER',
     'LOWEST_IMPORTANCE',
     'RANK_COUNT',
-    'TOP_IMPORTANCE',
+    'HIGHEST_IMPORTANCE',
     'AnswerInfo',
     'CallContext',
     'ContextKey',
-    'HomeStamp',
+    'HomeNode',
     'LoadReport',
     'Outcome',
     'RefusalReason',
     'decode_answer',
     'decode_context',
-    'decode_known_context',
+    'decode_and_verify_context',
     'encode_answer',
     'encode_context',
     'level_of',
--- a/src/lovageshunt/cli/_account_report.py
+++ b/src/lovageshunt/cli/_account_report.py
@@ -6,16 +6,16 @@
 
 from lovageshunt._record import Record
 from lovageshunt.account import (
+    AccountGap,
+    AccountKey,
     AccountLine,
+    AccountSample,
     AccountSnapshot,
     Difference,
-    Hole,
     Imbalance,
     MergedAccount,
-    Owner,
-    Reading,
     Role,
-    balance,
+    find_imbalances,
     reconcile,
     snapshot_from_dict,
 )
@@ -26,19 +26,19 @@
 class Collection:
     """The snapshots in the answers of the nodes, and what went wrong."""
 
-    __slots__ = ('account', 'errors', 'holes', '_held_by_owner')
+    __slots__ = ('account', 'errors', 'gaps', '_held_by_owner')
 
     def __init__(self, answers: list[NodeAnswer], now: float) -> None:
         """Merge the nodes' answers as of ``now``, in seconds since 1970."""
         self.account = MergedAccount()
         self.errors: list[LovageshuntError] = []
-        self._held_by_owner: dict[Owner, dict[str, int]] = {}
+        self._held_by_owner: dict[AccountKey, dict[str, int]] = {}
         live = [
             (own.node, own.incarnation)
             for own in map(self._take, answers)
             if own is not None
         ]
-        self.holes: list[Hole] = self.account.holes(now, live)
+        self.gaps: list[AccountGap] = self.account.gaps(now, live)
 
     @property
     def has_callers(self) -> bool:
@@ -50,19 +50,19 @@
         return [
             imbalance
             for snapshot in self.account.snapshots()
-            for imbalance in balance(
+            for imbalance in find_imbalances(
                 snapshot,
-                self._held_by_owner.get(snapshot.owner),
+                self._held_by_owner.get(snapshot.account_key),
             )
         ]
 
-    def reading(self) -> Reading:
+    def reading(self) -> AccountSample:
         """Return the figures to compare callers with nodes."""
-        return Reading(
+        return AccountSample(
             callers=self.account.lines(Role.CALLER),
             nodes=self.account.lines(),
-            holed_services=[
-                service for hole in self.holes for service in hole.services
+            services_with_gaps=[
+                service for hole in self.gaps for service in hole.services
             ],
             callers_taken_at=min(
                 self.account.taken_at(Role.CALLER),
@@ -92,7 +92,7 @@
         self.account.add(own)
         held = body.get('held_by_service')
         if isinstance(held, dict):
-            self._held_by_owner[own.owner] = held
+            self._held_by_owner[own.account_key] = held
         return own
 
 
@@ -124,7 +124,7 @@
             for difference in self.differences
             if not difference.is_explained
         ]
-        missing = found.errors or found.holes
+        missing = found.errors or found.gaps
         return not (missing or found.imbalances() or unexplained)
 
     def lines(self, role: Role = Role.NODE) -> list[AccountLine]:
@@ -138,7 +138,7 @@
             'is_whole': self.is_whole,
             'nodes': _dicts(self.lines()),
             'callers': _dicts(self.lines(Role.CALLER)),
-            'holes': _dicts(found.holes),
+            'holes': _dicts(found.gaps),
             'imbalances': _dicts(found.imbalances()),
             'differences': _dicts(self.differences),
             'errors': [str(error) for error in found.errors],
@@ -149,13 +149,13 @@
         found = self._collection
         return [
             *map(str, found.errors),
-            *map(_hole_line, found.holes),
+            *map(_hole_line, found.gaps),
             *map(_imbalance_line, found.imbalances()),
             *map(_difference_line, self.differences),
         ]
 
 
-def _hole_line(hole: Hole) -> str:
+def _hole_line(hole: AccountGap) -> str:
     return (
         f'hole: {hole.node} {hole.incarnation} from {_shown_time(hole.from_at)}'
         f' to {_shown_time(hole.to_at)}'
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -8,9 +8,9 @@
 from lovageshunt._record import Record
 from lovageshunt.account import (
     AccountClosed,
-    AccountKeeping,
-    KeepingTick,
-    SnapshotHeard,
+    AccountReplicator,
+    ReplicationTick,
+    SnapshotReceived,
     decode_snapshot,
 )
 from lovageshunt.admission import LoadReported
@@ -63,7 +63,7 @@
         calls: Calls,
         inquiries: Inquiries,
         target: TargetLink,
-        keeping: AccountKeeping,
+        keeping: AccountReplicator,
         pauses: Cell,
         settler: SettlingController,
         life: NodeLife,
@@ -154,7 +154,7 @@
     def keep_account(self, raw: bytes) -> None:
         """Store an account snapshot; raises ``MalformedSnapshotError``."""
         snapshot = decode_snapshot(raw)
-        self._keeping.handle(SnapshotHeard(now=now(), snapshot=snapshot))
+        self._keeping.handle(SnapshotReceived(now=now(), snapshot=snapshot))
 
     async def answer_inquiry(self, question: InquiryReceived) -> InquiryAnswer:
         """Answer a peer's inquiry about a call; raises ``TimeoutError``."""
@@ -226,7 +226,7 @@
         if now() < self._next_accounts_at:
             return
         self._next_accounts_at = now() + _ACCOUNTS_INTERVAL_SECONDS
-        tick = KeepingTick(
+        tick = ReplicationTick(
             now=now(),
             wall_time=time(),
             peers=self._control.account_peers(),
--- a/src/lovageshunt/node/control/_identity.py
+++ b/src/lovageshunt/node/control/_identity.py
@@ -1,7 +1,7 @@
 """The identity of this node, fixed for the life of the process."""
 
 from lovageshunt._record import Record
-from lovageshunt.calls import HomeStamp
+from lovageshunt.calls import HomeNode
 
 
 class Identity(Record):
@@ -41,6 +41,6 @@
         self.incarnation = incarnation
 
     @property
-    def home(self) -> HomeStamp:
+    def home(self) -> HomeNode:
         """Return the stamp that names this node as the home of a call."""
-        return HomeStamp(node=self.name, incarnation=self.incarnation)
+        return HomeNode(node=self.name, incarnation=self.incarnation)
--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -15,7 +15,7 @@
     ANSWER_HEADER,
     CONTEXT_HEADER,
     ContextKey,
-    HomeStamp,
+    HomeNode,
     Outcome,
     RefusalReason,
     decode_answer,
@@ -118,7 +118,7 @@
     def expect_answer(
         self,
         key: str,
-        asker: HomeStamp,
+        asker: HomeNode,
         number: int,
     ) -> Future[InquiryAnswer]:
         """Return a future for this node's answer to a peer's inquiry."""
--- a/src/lovageshunt/node/control/_life.py
+++ b/src/lovageshunt/node/control/_life.py
@@ -1,6 +1,6 @@
 """The node's life-cycle state, driven by its state chart."""
 
-from lovageshunt.charts import Life, load_chart
+from lovageshunt.charts import ChartInstance, load_chart
 
 
 class NodeLife:
@@ -12,7 +12,7 @@
     __slots__ = ('_life',)
 
     def __init__(self) -> None:
-        self._life = Life(load_chart('node'))
+        self._life = ChartInstance(load_chart('node'))
 
     @property
     def state(self) -> str:
--- a/src/lovageshunt/node/control/_service_peers.py
+++ b/src/lovageshunt/node/control/_service_peers.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from typing import Final
 
-from lovageshunt.calls import HomeStamp
+from lovageshunt.calls import HomeNode
 from lovageshunt.idempotency import DepartedNode
 from lovageshunt.membership import Member
 
@@ -24,7 +24,7 @@
     __slots__ = ('peers', '_incarnation_by_name', '_gone_at', '_dead')
 
     def __init__(self) -> None:
-        self.peers: tuple[HomeStamp, ...] | None = None
+        self.peers: tuple[HomeNode, ...] | None = None
         self._incarnation_by_name: dict[str, str] = {}
         self._gone_at: dict[_NodeId, float] = {}
         self._dead: set[_NodeId] = set()
@@ -40,7 +40,7 @@
         for member in members:
             self._record_incarnation(member, now)
         self.peers = tuple(
-            HomeStamp(node=member.name, incarnation=member.incarnation)
+            HomeNode(node=member.name, incarnation=member.incarnation)
             for member in members
         )
         for member in departed:
@@ -54,7 +54,7 @@
         """Return the nodes that departed within the last 900 s."""
         return tuple(
             DepartedNode(
-                home=HomeStamp(node=identity[0], incarnation=identity[1]),
+                home=HomeNode(node=identity[0], incarnation=identity[1]),
                 seconds_ago=max(0, now - gone_at),
                 is_proved_dead=identity in self._dead,
             )
--- a/src/lovageshunt/node/gate/_messages.py
+++ b/src/lovageshunt/node/gate/_messages.py
@@ -1,7 +1,7 @@
 """The events that the gate handles, and the actions it returns."""
 
 from lovageshunt._record import Record
-from lovageshunt.calls import CallContext, HomeStamp, RefusalReason
+from lovageshunt.calls import CallContext, HomeNode, RefusalReason
 from lovageshunt.idempotency import DepartedNode, Ending
 
 
@@ -33,7 +33,7 @@
         is_repeatable: bool,
         fingerprint: str,
         deadline: float,
-        peers: tuple[HomeStamp, ...] | None = None,
+        peers: tuple[HomeNode, ...] | None = None,
         gone: tuple[DepartedNode, ...] = (),
     ) -> None:
         self.ticket = ticket
--- a/src/lovageshunt/node/serving/_http_boundary.py
+++ b/src/lovageshunt/node/serving/_http_boundary.py
@@ -13,10 +13,10 @@
     CONTEXT_HEADER,
     CallContext,
     ContextKey,
-    HomeStamp,
+    HomeNode,
     Outcome,
     RefusalReason,
-    decode_known_context,
+    decode_and_verify_context,
     rank_of,
 )
 from lovageshunt.client import Inbound
@@ -98,7 +98,7 @@
     if header is None:
         return _external_call(inbound, rule)
     try:
-        context, is_known = decode_known_context(header, key)
+        context, is_known = decode_and_verify_context(header, key)
     except MalformedContextError:
         return Error(RefusalReason.MALFORMED)
     if not is_known:
@@ -192,7 +192,7 @@
 def forwarded_context(
     context: CallContext,
     *,
-    home: HomeStamp | None,
+    home: HomeNode | None,
     seconds_left: float,
     elapsed_seconds: float,
     trace_parent: str,
--- a/src/lovageshunt/rules/_codec.py
+++ b/src/lovageshunt/rules/_codec.py
@@ -6,7 +6,7 @@
 import orjson
 from expression import Error, Ok, Result
 
-from lovageshunt.calls import LOWEST_IMPORTANCE, TOP_IMPORTANCE
+from lovageshunt.calls import HIGHEST_IMPORTANCE, LOWEST_IMPORTANCE
 from lovageshunt.errors import MalformedRulesError
 from lovageshunt.rules._document import KindRule, RulesDocument, ServiceRules
 
@@ -117,9 +117,9 @@
                 'importance must be an integer, '
                 f'got {type(importance).__name__}',
             )
-        if not TOP_IMPORTANCE <= importance <= LOWEST_IMPORTANCE:
+        if not HIGHEST_IMPORTANCE <= importance <= LOWEST_IMPORTANCE:
             raise ValueError(
-                f'importance must be from {TOP_IMPORTANCE} to '
+                f'importance must be from {HIGHEST_IMPORTANCE} to '
                 f'{LOWEST_IMPORTANCE}, got {importance}',
             )
     if rule.timeout_ms < 1 or rule.retry_bound < 0:
