--- a/src/lovageshunt/client/__init__.py
+++ b/src/lovageshunt/client/__init__.py
@@ -19,9 +19,9 @@
 from lovageshunt.client._scope import CallScope
 from lovageshunt.client._transport import (
     ExchangeLost,
+    HttpResponse,
     LossKind,
     Transport,
-    WholeAnswer,
 )
 from lovageshunt.client._view import (
     ACCOUNT_PATH,
@@ -50,7 +50,7 @@
     'Send',
     'Transport',
     'View',
-    'WholeAnswer',
+    'HttpResponse',
     'call_error',
     'encode_view',
     'read_inbound',
--- a/src/lovageshunt/client/_attempt.py
+++ b/src/lovageshunt/client/_attempt.py
@@ -17,9 +17,9 @@
 from lovageshunt.client._messages import Call
 from lovageshunt.client._transport import (
     ExchangeLost,
+    HttpResponse,
     LossKind,
     Transport,
-    WholeAnswer,
 )
 from lovageshunt.errors import MalformedAnswerError
 from lovageshunt.routing import RouteMember
@@ -42,7 +42,7 @@
         self,
         *,
         said: AnswerInfo,
-        whole: WholeAnswer | None = None,
+        whole: HttpResponse | None = None,
         is_lost: bool = False,
     ) -> None:
         """Take the control part and the answer, if one arrived."""
@@ -85,7 +85,7 @@
     return _made_up(context, Outcome.UNKNOWN, reason)
 
 
-def _end_of_answer(whole: WholeAnswer, context: CallContext) -> AttemptEnd:
+def _end_of_answer(whole: HttpResponse, context: CallContext) -> AttemptEnd:
     header = whole.headers.get(ANSWER_HEADER, '')
     try:
         said = decode_answer(header, context.call_id)
--- a/src/lovageshunt/client/_transport.py
+++ b/src/lovageshunt/client/_transport.py
@@ -65,7 +65,7 @@
         return self.kind in {LossKind.REFUSED, LossKind.UNSENT}
 
 
-class WholeAnswer(Record):
+class HttpResponse(Record):
     """An answer that arrived to its last byte."""
 
     __slots__ = ('status', 'headers', 'body')
@@ -140,7 +140,7 @@
         headers: Mapping[str, str],
         body: bytes,
         timeout_seconds: float,
-    ) -> Result[WholeAnswer, ExchangeLost]:
+    ) -> Result[HttpResponse, ExchangeLost]:
         """Send one request to ``address`` (IP:PORT), and wait for all of it.
 
         ``target`` is the path with its query. A cancellation passes through
@@ -166,7 +166,7 @@
         target: str,
         headers: Mapping[str, str],
         body: bytes,
-    ) -> Result[WholeAnswer, ExchangeLost]:
+    ) -> Result[HttpResponse, ExchangeLost]:
         if self._session is None:
             return _lost(LossKind.UNSENT, 'the transport is closed')
         async with self._session.request(
@@ -184,7 +184,7 @@
                     f'more than {self._max_body_bytes} bytes',
                 )
             return Ok(
-                WholeAnswer(
+                HttpResponse(
                     status=response.status,
                     headers=response.headers,
                     body=received,
@@ -214,5 +214,5 @@
 def _lost(
     kind: LossKind,
     detail: str,
-) -> Result[WholeAnswer, ExchangeLost]:
+) -> Result[HttpResponse, ExchangeLost]:
     return Error(ExchangeLost(kind=kind, detail=detail))
--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -21,7 +21,7 @@
     decode_answer,
     encode_context,
 )
-from lovageshunt.client import Inbound, Transport, WholeAnswer
+from lovageshunt.client import HttpResponse, Inbound, Transport
 from lovageshunt.errors import MalformedAnswerError, MalformedEnvelopeError
 from lovageshunt.idempotency import (
     AnswerInquiry,
@@ -194,7 +194,7 @@
     )
 
 
-def _ending_of(whole: WholeAnswer, call_id: str) -> Ending:
+def _ending_of(whole: HttpResponse, call_id: str) -> Ending:
     try:
         said = decode_answer(whole.headers.get(ANSWER_HEADER, ''), call_id)
     except MalformedAnswerError:
--- a/src/lovageshunt/node/control/_peer_link.py
+++ b/src/lovageshunt/node/control/_peer_link.py
@@ -5,7 +5,7 @@
 import orjson
 from expression import Result
 
-from lovageshunt.client import ExchangeLost, Transport, WholeAnswer
+from lovageshunt.client import ExchangeLost, HttpResponse, Transport
 from lovageshunt.node.control._envelope import Envelope, encode_envelope
 
 EXCHANGE_PATH: Final = '/v1/exchange'
@@ -34,7 +34,7 @@
         path: str,
         body: bytes,
         timeout_seconds: float = _TIMEOUT_SECONDS,
-    ) -> Result[WholeAnswer, ExchangeLost]:
+    ) -> Result[HttpResponse, ExchangeLost]:
         """Post JSON to a peer's admin address (IP:PORT)."""
         self.sent_bytes += len(body) + _HEADER_BYTES
         return await self._transport.send(
@@ -60,7 +60,7 @@
         return posted.map(_incarnation_in)
 
 
-def _incarnation_in(answer: WholeAnswer) -> str:
+def _incarnation_in(answer: HttpResponse) -> str:
     if answer.status != _HTTP_OK:
         return ''
     fields = orjson.loads(answer.body)
--- a/src/lovageshunt/node/serving/_target.py
+++ b/src/lovageshunt/node/serving/_target.py
@@ -16,10 +16,10 @@
 )
 from lovageshunt.client import (
     ExchangeLost,
+    HttpResponse,
     Inbound,
     LossKind,
     Transport,
-    WholeAnswer,
 )
 from lovageshunt.errors import MalformedAnswerError
 
@@ -63,7 +63,7 @@
         *,
         outcome: Outcome,
         reason: RefusalReason | None = None,
-        whole: WholeAnswer | None = None,
+        whole: HttpResponse | None = None,
         info: AnswerInfo | None = None,
         was_cut: bool = False,
     ) -> None:
@@ -164,7 +164,7 @@
         except (KeyError, TypeError, ValueError) as error:
             return Error(repr(error))
 
-    async def _ask(self, path: str) -> Result[WholeAnswer, ExchangeLost]:
+    async def _ask(self, path: str) -> Result[HttpResponse, ExchangeLost]:
         return await self._transport.send(
             address=self._address,
             method='GET',
@@ -212,7 +212,7 @@
     )
 
 
-def _reply_of_answer(whole: WholeAnswer, call_id: str) -> TargetReply:
+def _reply_of_answer(whole: HttpResponse, call_id: str) -> TargetReply:
     if NOT_RUN_HEADER in whole.headers:
         return TargetReply(
             outcome=Outcome.NOT_RUN,
@@ -237,7 +237,7 @@
     )
 
 
-def _reply_of_status(whole: WholeAnswer) -> TargetReply:
+def _reply_of_status(whole: HttpResponse) -> TargetReply:
     if whole.status < _FIRST_FAILURE_STATUS:
         return TargetReply(outcome=Outcome.ANSWERED, whole=whole)
     return TargetReply(
