--- a/src/lovageshunt/client/__init__.py
+++ b/src/lovageshunt/client/__init__.py
@@ -18,7 +18,7 @@
 from lovageshunt.client._options import ClientOptions
 from lovageshunt.client._scope import CallScope
 from lovageshunt.client._transport import (
-    ExchangeLost,
+    ExchangeFailure,
     HttpResponse,
     LossKind,
     Transport,
@@ -41,7 +41,7 @@
     'Client',
     'ClientOptions',
     'Engine',
-    'ExchangeLost',
+    'ExchangeFailure',
     'Inbound',
     'InboundCalls',
     'LossKind',
--- a/src/lovageshunt/client/_attempt.py
+++ b/src/lovageshunt/client/_attempt.py
@@ -16,7 +16,7 @@
 )
 from lovageshunt.client._messages import Call
 from lovageshunt.client._transport import (
-    ExchangeLost,
+    ExchangeFailure,
     HttpResponse,
     LossKind,
     Transport,
@@ -72,7 +72,7 @@
     return _end_of_answer(exchange.ok, context)
 
 
-def _end_of_loss(lost: ExchangeLost, context: CallContext) -> AttemptEnd:
+def _end_of_loss(lost: ExchangeFailure, context: CallContext) -> AttemptEnd:
     if lost.is_unsent:
         return _made_up(
             context,
--- a/src/lovageshunt/client/_transport.py
+++ b/src/lovageshunt/client/_transport.py
@@ -49,7 +49,7 @@
     TOO_LARGE = 'too_large'
 
 
-class ExchangeLost(Record):
+class ExchangeFailure(Record):
     """An exchange that brought no whole answer."""
 
     __slots__ = ('kind', 'detail')
@@ -140,7 +140,7 @@
         headers: Mapping[str, str],
         body: bytes,
         timeout_seconds: float,
-    ) -> Result[HttpResponse, ExchangeLost]:
+    ) -> Result[HttpResponse, ExchangeFailure]:
         """Send one request to ``address`` (IP:PORT), and wait for all of it.
 
         ``target`` is the path with its query. A cancellation passes through
@@ -166,7 +166,7 @@
         target: str,
         headers: Mapping[str, str],
         body: bytes,
-    ) -> Result[HttpResponse, ExchangeLost]:
+    ) -> Result[HttpResponse, ExchangeFailure]:
         if self._session is None:
             return _lost(LossKind.UNSENT, 'the transport is closed')
         async with self._session.request(
@@ -214,5 +214,5 @@
 def _lost(
     kind: LossKind,
     detail: str,
-) -> Result[HttpResponse, ExchangeLost]:
-    return Error(ExchangeLost(kind=kind, detail=detail))
+) -> Result[HttpResponse, ExchangeFailure]:
+    return Error(ExchangeFailure(kind=kind, detail=detail))
--- a/src/lovageshunt/node/control/_peer_link.py
+++ b/src/lovageshunt/node/control/_peer_link.py
@@ -5,7 +5,7 @@
 import orjson
 from expression import Result
 
-from lovageshunt.client import ExchangeLost, HttpResponse, Transport
+from lovageshunt.client import ExchangeFailure, HttpResponse, Transport
 from lovageshunt.node.control._envelope import Envelope, encode_envelope
 
 EXCHANGE_PATH: Final = '/v1/exchange'
@@ -34,7 +34,7 @@
         path: str,
         body: bytes,
         timeout_seconds: float = _TIMEOUT_SECONDS,
-    ) -> Result[HttpResponse, ExchangeLost]:
+    ) -> Result[HttpResponse, ExchangeFailure]:
         """Post JSON to a peer's admin address (IP:PORT)."""
         self.sent_bytes += len(body) + _HEADER_BYTES
         return await self._transport.send(
@@ -50,7 +50,7 @@
         self,
         address: str,
         envelope: Envelope,
-    ) -> Result[str, ExchangeLost]:
+    ) -> Result[str, ExchangeFailure]:
         """Send an envelope; return the incarnation that took it."""
         posted = await self.post(
             address,
--- a/src/lovageshunt/node/serving/_target.py
+++ b/src/lovageshunt/node/serving/_target.py
@@ -15,7 +15,7 @@
     decode_answer,
 )
 from lovageshunt.client import (
-    ExchangeLost,
+    ExchangeFailure,
     HttpResponse,
     Inbound,
     LossKind,
@@ -164,7 +164,7 @@
         except (KeyError, TypeError, ValueError) as error:
             return Error(repr(error))
 
-    async def _ask(self, path: str) -> Result[HttpResponse, ExchangeLost]:
+    async def _ask(self, path: str) -> Result[HttpResponse, ExchangeFailure]:
         return await self._transport.send(
             address=self._address,
             method='GET',
@@ -195,7 +195,7 @@
     )
 
 
-def _reply_of_loss(lost: ExchangeLost, is_repeatable: bool) -> TargetReply:
+def _reply_of_loss(lost: ExchangeFailure, is_repeatable: bool) -> TargetReply:
     if lost.is_unsent:
         return TargetReply(
             outcome=Outcome.NOT_RUN,
--- a/src/lovageshunt/published/_published.py
+++ b/src/lovageshunt/published/_published.py
@@ -11,7 +11,7 @@
 from expression import Error, Ok, Result
 
 from lovageshunt._record import Record
-from lovageshunt.client import ExchangeLost, HttpResponse, Transport
+from lovageshunt.client import ExchangeFailure, HttpResponse, Transport
 from lovageshunt.errors import PlatformUnavailableError
 
 #: The published value that holds the rules in force.
@@ -121,7 +121,7 @@
 def _reading_of(
     name: str,
     address: str,
-    exchange: Result[HttpResponse, ExchangeLost],
+    exchange: Result[HttpResponse, ExchangeFailure],
     after: int,
 ) -> Result[Published, PlatformUnavailableError]:
     if exchange.is_error():
