--- a/src/lovageshunt/client/__init__.py
+++ b/src/lovageshunt/client/__init__.py
@@ -19,8 +19,8 @@
 from lovageshunt.client._scope import CallScope
 from lovageshunt.client._transport import (
     ExchangeFailure,
+    ExchangeFailureKind,
     HttpResponse,
-    LossKind,
     Transport,
 )
 from lovageshunt.client._view import (
@@ -44,7 +44,7 @@
     'ExchangeFailure',
     'Inbound',
     'InboundCalls',
-    'LossKind',
+    'ExchangeFailureKind',
     'ReadFault',
     'Receive',
     'Send',
--- a/src/lovageshunt/client/_attempt.py
+++ b/src/lovageshunt/client/_attempt.py
@@ -17,8 +17,8 @@
 from lovageshunt.client._messages import Call
 from lovageshunt.client._transport import (
     ExchangeFailure,
+    ExchangeFailureKind,
     HttpResponse,
-    LossKind,
     Transport,
 )
 from lovageshunt.errors import MalformedAnswerError
@@ -80,7 +80,7 @@
             RefusalReason.CONNECTION_LOST,
         )
     reason = RefusalReason.CONNECTION_LOST
-    if lost.kind is LossKind.LATE:
+    if lost.kind is ExchangeFailureKind.LATE:
         reason = RefusalReason.DEADLINE
     return _made_up(context, Outcome.UNKNOWN, reason)
 
--- a/src/lovageshunt/client/_transport.py
+++ b/src/lovageshunt/client/_transport.py
@@ -32,7 +32,7 @@
 _LEFT_OUT: Final = ('accept', 'accept-encoding', 'content-type', 'user-agent')
 
 
-class LossKind(StrEnum):
+class ExchangeFailureKind(StrEnum):
     """How an exchange was lost.
 
     ``REFUSED``: nothing listens at the address. ``UNSENT``: no connection
@@ -54,7 +54,7 @@
 
     __slots__ = ('kind', 'detail')
 
-    def __init__(self, *, kind: LossKind, detail: str) -> None:
+    def __init__(self, *, kind: ExchangeFailureKind, detail: str) -> None:
         """Keep the kind and the library's own words."""
         self.kind = kind
         self.detail = detail
@@ -62,7 +62,10 @@
     @property
     def is_unsent(self) -> bool:
         """Return whether it is certain that nothing was written."""
-        return self.kind in {LossKind.REFUSED, LossKind.UNSENT}
+        return self.kind in {
+            ExchangeFailureKind.REFUSED,
+            ExchangeFailureKind.UNSENT,
+        }
 
 
 class HttpResponse(Record):
@@ -155,9 +158,11 @@
             # The second is a TimeoutError too, so it is told apart first.
             return _lost(_kind_of_unsent(unsent), str(unsent))
         except TimeoutError:
-            return _lost(LossKind.LATE, f'no answer in {timeout_seconds} s')
+            return _lost(
+                ExchangeFailureKind.LATE, f'no answer in {timeout_seconds} s'
+            )
         except (ClientError, OSError) as cut:
-            return _lost(LossKind.CUT, str(cut))
+            return _lost(ExchangeFailureKind.CUT, str(cut))
 
     async def _exchange(
         self,
@@ -168,7 +173,7 @@
         body: bytes,
     ) -> Result[HttpResponse, ExchangeFailure]:
         if self._session is None:
-            return _lost(LossKind.UNSENT, 'the transport is closed')
+            return _lost(ExchangeFailureKind.UNSENT, 'the transport is closed')
         async with self._session.request(
             method,
             URL(f'{self._scheme}://{address}{target}', encoded=True),
@@ -180,7 +185,7 @@
             if len(received) > self._max_body_bytes:
                 response.close()
                 return _lost(
-                    LossKind.TOO_LARGE,
+                    ExchangeFailureKind.TOO_LARGE,
                     f'more than {self._max_body_bytes} bytes',
                 )
             return Ok(
@@ -203,16 +208,20 @@
         return b''.join(chunks)
 
 
-def _kind_of_unsent(error: ClientError) -> LossKind:
+def _kind_of_unsent(error: ClientError) -> ExchangeFailureKind:
     # Cut off by the network, a VM has no route; a refusal is its own word.
     if not isinstance(error, ClientConnectorError):
-        return LossKind.UNSENT
+        return ExchangeFailureKind.UNSENT
     is_refused = isinstance(error.os_error, ConnectionRefusedError)
-    return LossKind.REFUSED if is_refused else LossKind.UNSENT
+    return (
+        ExchangeFailureKind.REFUSED
+        if is_refused
+        else ExchangeFailureKind.UNSENT
+    )
 
 
 def _lost(
-    kind: LossKind,
+    kind: ExchangeFailureKind,
     detail: str,
 ) -> Result[HttpResponse, ExchangeFailure]:
     return Error(ExchangeFailure(kind=kind, detail=detail))
--- a/src/lovageshunt/node/control/_settling.py
+++ b/src/lovageshunt/node/control/_settling.py
@@ -3,7 +3,7 @@
 from asyncio import gather
 from typing import Final
 
-from lovageshunt.client import LossKind
+from lovageshunt.client import ExchangeFailureKind
 from lovageshunt.membership import Bulletin, Member
 from lovageshunt.node.control._control import Control
 from lovageshunt.node.control._outbox import Outbox
@@ -59,7 +59,7 @@
         )
         sent = await self._link.exchange(address, envelope)
         if sent.is_error():
-            return sent.error.kind is LossKind.REFUSED
+            return sent.error.kind is ExchangeFailureKind.REFUSED
         self._control.heard(member.name, sent.ok)
         if sent.ok:
             self._confirmed.add(member.name)
--- a/src/lovageshunt/node/serving/_target.py
+++ b/src/lovageshunt/node/serving/_target.py
@@ -16,9 +16,9 @@
 )
 from lovageshunt.client import (
     ExchangeFailure,
+    ExchangeFailureKind,
     HttpResponse,
     Inbound,
-    LossKind,
     Transport,
 )
 from lovageshunt.errors import MalformedAnswerError
@@ -203,12 +203,12 @@
         )
     # A lookup that may still run changes nothing, so its end is certain.
     outcome = Outcome.FAILED if is_repeatable else Outcome.UNKNOWN
-    if lost.kind is LossKind.LATE:
+    if lost.kind is ExchangeFailureKind.LATE:
         return TargetReply(outcome=outcome, reason=RefusalReason.DEADLINE)
     return TargetReply(
         outcome=outcome,
         reason=RefusalReason.CONNECTION_LOST,
-        was_cut=lost.kind is LossKind.CUT,
+        was_cut=lost.kind is ExchangeFailureKind.CUT,
     )
 
 
--- a/tests/client/test_transport.py
+++ b/tests/client/test_transport.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lovageshunt.client import LossKind, Transport
+from lovageshunt.client import ExchangeFailureKind, Transport
 from tests.client.wire import exchange_with, whole
 
 _LARGE = 1_000_000
@@ -60,7 +60,7 @@
             await arrival.close()
 
         async with exchange_with(spoiling(cut)) as (server, send):
-            assert kind_of(await send()) is LossKind.CUT
+            assert kind_of(await send()) is ExchangeFailureKind.CUT
             assert (await send('/next')).ok.body == b'/next'
             assert server.connections == [1, 2]
 
@@ -72,7 +72,10 @@
             await arrival.answer(b'late')
 
         async with exchange_with(spoiling(late)) as (server, send):
-            assert kind_of(await send(timeout_seconds=0.02)) is LossKind.LATE
+            assert (
+                kind_of(await send(timeout_seconds=0.02))
+                is ExchangeFailureKind.LATE
+            )
             assert (await send('/next')).ok.body == b'/next'
             assert server.connections == [1, 2]
 
@@ -90,7 +93,7 @@
             await arrival.write(b'f4240\r\n%b\r\n' % (b'x' * _LARGE))
 
         async with exchange_with(spoiling(large)) as (server, send):
-            assert kind_of(await send()) is LossKind.TOO_LARGE
+            assert kind_of(await send()) is ExchangeFailureKind.TOO_LARGE
             assert (await send('/next')).ok.body == b'/next'
             assert server.connections == [1, 2]
 
@@ -146,7 +149,7 @@
 
         async with exchange_with(serve) as (server, send):
             await send('/first')
-            assert kind_of(await send('/second')) is LossKind.CUT
+            assert kind_of(await send('/second')) is ExchangeFailureKind.CUT
             assert server.connections == [1, 1]
 
 
@@ -158,7 +161,7 @@
         with socket.socket() as unused:
             unused.bind(('127.0.0.1', 0))
             exchange = await send_to(unused.getsockname()[1])
-        assert kind_of(exchange) is LossKind.REFUSED
+        assert kind_of(exchange) is ExchangeFailureKind.REFUSED
         assert exchange.error.is_unsent
 
     async def test_never_made(self):
@@ -168,7 +171,7 @@
             full.listen(0)
             other.connect(full.getsockname())
             exchange = await send_to(full.getsockname()[1])
-        assert kind_of(exchange) is LossKind.UNSENT
+        assert kind_of(exchange) is ExchangeFailureKind.UNSENT
         assert exchange.error.is_unsent
 
     async def test_closed(self):
@@ -182,7 +185,7 @@
             body=b'',
             timeout_seconds=1,
         )
-        assert kind_of(exchange) is LossKind.UNSENT
+        assert kind_of(exchange) is ExchangeFailureKind.UNSENT
 
 
 class TestHeaders:
