--- a/src/lovageshunt/client/__init__.py
+++ b/src/lovageshunt/client/__init__.py
@@ -3,7 +3,7 @@
 from lovageshunt.client._asgi import (
     AsgiApp,
     AsgiScope,
-    Inbound,
+    InboundRequest,
     ReadFault,
     Receive,
     Send,
@@ -42,7 +42,7 @@
     'ClientOptions',
     'Engine',
     'ExchangeFailure',
-    'Inbound',
+    'InboundRequest',
     'InboundCalls',
     'ExchangeFailureKind',
     'ReadFault',
--- a/src/lovageshunt/client/_asgi.py
+++ b/src/lovageshunt/client/_asgi.py
@@ -25,7 +25,7 @@
 _DISCONNECT: Final = 'http.disconnect'
 
 
-class Inbound(Record):
+class InboundRequest(Record):
     """A request read to its last byte.
 
     ``target`` is the path with its query as it came; the names in
@@ -65,7 +65,7 @@
     scope: AsgiScope,
     receive: Receive,
     max_body_bytes: int,
-) -> Result[Inbound, ReadFault]:
+) -> Result[InboundRequest, ReadFault]:
     """Read a whole request; a body above the bound is refused."""
     chunks = []
     size = 0
@@ -140,13 +140,13 @@
         self.worker.cancel()
 
 
-def _inbound_of(scope: AsgiScope, body: bytes) -> Inbound:
+def _inbound_of(scope: AsgiScope, body: bytes) -> InboundRequest:
     raw_path = scope.get('raw_path') or scope['path'].encode()
     target = raw_path.decode('latin-1')
     query = scope.get('query_string', b'')
     if query:
         target = f'{target}?{query.decode("latin-1")}'
-    return Inbound(
+    return InboundRequest(
         method=scope['method'],
         path=scope['path'],
         target=target,
--- a/src/lovageshunt/client/_inbound.py
+++ b/src/lovageshunt/client/_inbound.py
@@ -17,7 +17,7 @@
     AsgiApp,
     AsgiMessage,
     AsgiScope,
-    Inbound,
+    InboundRequest,
     Receive,
     Send,
     read_inbound,
@@ -85,7 +85,7 @@
     async def _serve(
         self,
         scope: AsgiScope,
-        inbound: Inbound,
+        inbound: InboundRequest,
         answering: '_Answering',
     ) -> None:
         replay = _Replay(inbound.body)
@@ -171,7 +171,7 @@
         return said
 
 
-def _calls_of(client: Client, inbound: Inbound) -> CallScope:
+def _calls_of(client: Client, inbound: InboundRequest) -> CallScope:
     """Return the scope of a call; one that nobody vouches for is a root.
 
     A root has the importance and the retries of the rules.
--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -21,7 +21,7 @@
     decode_answer,
     encode_context,
 )
-from lovageshunt.client import HttpResponse, Inbound, Transport
+from lovageshunt.client import HttpResponse, InboundRequest, Transport
 from lovageshunt.errors import MalformedAnswerError, MalformedEnvelopeError
 from lovageshunt.idempotency import (
     AnswerInquiry,
@@ -145,7 +145,7 @@
 
     async def redirect(
         self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         admissible: Admissible,
         action: Redirect,
         *,
--- a/src/lovageshunt/node/egress/_below.py
+++ b/src/lovageshunt/node/egress/_below.py
@@ -14,7 +14,7 @@
     RefusalReason,
     decode_context,
 )
-from lovageshunt.client import CallScope, Engine, Inbound, Transport
+from lovageshunt.client import CallScope, Engine, InboundRequest, Transport
 from lovageshunt.clock import now
 from lovageshunt.node.serving._target import TargetLink, TargetReply
 
@@ -113,7 +113,7 @@
 
     async def dispatch(
         self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         *,
         call_id: str,
         headers: Mapping[str, str],
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -22,7 +22,7 @@
     Answer,
     AsgiScope,
     Engine,
-    Inbound,
+    InboundRequest,
     Receive,
     Send,
     call_error,
@@ -125,7 +125,7 @@
         if reply is not None:
             await _answer(send, found.ok, reply)
 
-    def _find(self, inbound: Inbound) -> Result[CallBelow, _Refusal]:
+    def _find(self, inbound: InboundRequest) -> Result[CallBelow, _Refusal]:
         header = inbound.headers.get(CONTEXT_HEADER)
         if header is None:
             return Error(
@@ -172,7 +172,7 @@
                 encode_snapshot(self._engine.account.snapshot(time())),
             )
 
-    async def _call(self, below: CallBelow, inbound: Inbound) -> _Reply:
+    async def _call(self, below: CallBelow, inbound: InboundRequest) -> _Reply:
         service, path = _split(inbound.target)
         below.has_called = True
         making = below.scope.call(
--- a/src/lovageshunt/node/serving/_border.py
+++ b/src/lovageshunt/node/serving/_border.py
@@ -19,7 +19,7 @@
     decode_known_context,
     rank_of,
 )
-from lovageshunt.client import Inbound
+from lovageshunt.client import InboundRequest
 from lovageshunt.errors import MalformedContextError
 from lovageshunt.idempotency import Ending, StoredAnswer
 from lovageshunt.retries import allowance_for
@@ -88,7 +88,7 @@
 
 
 def admissible_of(
-    inbound: Inbound,
+    inbound: InboundRequest,
     rule: KindRule,
     key: ContextKey | None = None,
 ) -> Result[Admissible, RefusalReason]:
@@ -108,7 +108,7 @@
     return Ok(Admissible(context=context, rule=rule, is_external=False))
 
 
-def fingerprint_of(inbound: Inbound, admissible: Admissible) -> str:
+def fingerprint_of(inbound: InboundRequest, admissible: Admissible) -> str:
     """Return what requests of the same content have in common.
 
     A call that must not repeat stands for itself alone: another of the same
@@ -226,7 +226,7 @@
 
 
 def _external(
-    inbound: Inbound,
+    inbound: InboundRequest,
     rule: KindRule,
 ) -> Result[Admissible, RefusalReason]:
     headers = inbound.headers
--- a/src/lovageshunt/node/serving/_call.py
+++ b/src/lovageshunt/node/serving/_call.py
@@ -2,7 +2,7 @@
 
 from asyncio import Future, Task, get_running_loop
 
-from lovageshunt.client import Inbound
+from lovageshunt.client import InboundRequest
 from lovageshunt.node.gate._messages import Reply
 from lovageshunt.node.serving._border import Admissible
 from lovageshunt.node.serving._target import TargetReply
@@ -32,7 +32,7 @@
         self,
         *,
         ticket: str,
-        inbound: Inbound,
+        inbound: InboundRequest,
         admissible: Admissible,
         span: ActiveSpan,
         arrived_at: float,
--- a/src/lovageshunt/node/serving/_calls.py
+++ b/src/lovageshunt/node/serving/_calls.py
@@ -9,7 +9,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.calls import ContextKey, RefusalReason
-from lovageshunt.client import Inbound
+from lovageshunt.client import InboundRequest
 from lovageshunt.clock import now
 from lovageshunt.idempotency import (
     AnswerInquiry,
@@ -79,7 +79,7 @@
 
     def begin(
         self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         admissible: Admissible,
         span: ActiveSpan,
         *,
--- a/src/lovageshunt/node/serving/_ingress.py
+++ b/src/lovageshunt/node/serving/_ingress.py
@@ -20,7 +20,7 @@
     ACCOUNT_PATH,
     VIEW_PATH,
     AsgiScope,
-    Inbound,
+    InboundRequest,
     Receive,
     Send,
     encode_view,
@@ -121,7 +121,7 @@
     async def _serve(
         self,
         scope: AsgiScope,
-        inbound: Inbound,
+        inbound: InboundRequest,
         receive: Receive,
         send: Send,
     ) -> None:
@@ -176,7 +176,7 @@
         )
 
     def _begin(
-        self, inbound: Inbound, admissible: Admissible
+        self, inbound: InboundRequest, admissible: Admissible
     ) -> CallInProgress:
         self._observe()
         at = now()
@@ -268,7 +268,7 @@
         kind = call.admissible.context.kind
         return self._gate.threshold_by_service(kind, asked, now())
 
-    async def _take_account(self, inbound: Inbound, send: Send) -> None:
+    async def _take_account(self, inbound: InboundRequest, send: Send) -> None:
         try:
             self._keep_account(inbound.body)
         except MalformedSnapshotError as error:
--- a/src/lovageshunt/node/serving/_target.py
+++ b/src/lovageshunt/node/serving/_target.py
@@ -18,7 +18,7 @@
     ExchangeFailure,
     ExchangeFailureKind,
     HttpResponse,
-    Inbound,
+    InboundRequest,
     Transport,
 )
 from lovageshunt.errors import MalformedAnswerError
@@ -123,7 +123,7 @@
 
     async def dispatch(
         self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         *,
         call_id: str,
         headers: Mapping[str, str],
--- a/tests/node/serving/test_border.py
+++ b/tests/node/serving/test_border.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lovageshunt.calls import Outcome, RefusalReason
-from lovageshunt.client import Inbound
+from lovageshunt.client import InboundRequest
 from lovageshunt.idempotency import Ending
 from lovageshunt.node.serving._border import (
     admissible_of,
@@ -16,7 +16,7 @@
 
 def make_call(request_id, *, is_repeatable=True, attempt='1', caller=''):
     """Return a call of a caller that embeds no library."""
-    inbound = Inbound(
+    inbound = InboundRequest(
         method='POST',
         path='/tokens',
         target='/tokens',
--- a/tests/node/serving/test_calls.py
+++ b/tests/node/serving/test_calls.py
@@ -4,7 +4,7 @@
 from types import SimpleNamespace
 
 from lovageshunt.calls import CallContext, Outcome, RefusalReason
-from lovageshunt.client import Inbound
+from lovageshunt.client import InboundRequest
 from lovageshunt.clock import now
 from lovageshunt.node.gate._messages import (
     CallAbandoned,
@@ -71,7 +71,9 @@
     rule = default_rule('records', 'GET', '/')
     rule.is_repeatable = True
     call = calls.begin(
-        Inbound(method='GET', path='/', target='/', headers={}, body=b''),
+        InboundRequest(
+            method='GET', path='/', target='/', headers={}, body=b''
+        ),
         Admissible(context=context, rule=rule, is_external=False),
         SimpleNamespace(trace_parent=''),
         arrived_at=now(),
--- a/tests/node/serving/test_signed_contexts.py
+++ b/tests/node/serving/test_signed_contexts.py
@@ -10,7 +10,7 @@
     encode_context,
     rank_of,
 )
-from lovageshunt.client import Inbound
+from lovageshunt.client import InboundRequest
 from lovageshunt.node.serving._border import admissible_of
 from lovageshunt.rules import KindRule
 
@@ -41,7 +41,7 @@
             **fields,
         },
     )
-    return Inbound(
+    return InboundRequest(
         method='GET',
         path='/',
         target='/',
--- a/tests/node/serving/test_target.py
+++ b/tests/node/serving/test_target.py
@@ -11,11 +11,11 @@
     RefusalReason,
     encode_answer,
 )
-from lovageshunt.client import Inbound, Transport
+from lovageshunt.client import InboundRequest, Transport
 from lovageshunt.node.serving._target import TargetLink, passing_headers
 from tests.client.wire import exchange_with
 
-_INBOUND = Inbound(
+_INBOUND = InboundRequest(
     method='GET',
     path='/',
     target='/',
