--- a/src/lovageshunt/client/_asgi.py
+++ b/src/lovageshunt/client/_asgi.py
@@ -51,7 +51,7 @@
         self.body = body
 
 
-class ReadFault(Record):
+class ReadFailure(Record):
     """Why a request was not read: too large, or its caller went away."""
 
     __slots__ = ('is_gone',)
@@ -65,7 +65,7 @@
     scope: AsgiScope,
     receive: Receive,
     max_body_bytes: int,
-) -> Result[InboundRequest, ReadFault]:
+) -> Result[InboundRequest, ReadFailure]:
     """Read a whole request; a body above the bound is refused."""
     chunks = []
     size = 0
@@ -73,11 +73,11 @@
     while is_more:
         message = await receive()
         if message['type'] == _DISCONNECT:
-            return Error(ReadFault(is_gone=True))
+            return Error(ReadFailure(is_gone=True))
         chunks.append(message.get('body', b''))
         size += len(chunks[-1])
         if size > max_body_bytes:
-            return Error(ReadFault(is_gone=False))
+            return Error(ReadFailure(is_gone=False))
         is_more = message.get('more_body', False)
     return Ok(_inbound_of(scope, b''.join(chunks)))
 
