--- a/src/lovageshunt/client/_asgi.py
+++ b/src/lovageshunt/client/_asgi.py
@@ -54,11 +54,11 @@
 class ReadFailure(Record):
     """Why a request was not read: too large, or its caller went away."""
 
-    __slots__ = ('is_gone',)
+    __slots__ = ('is_disconnected',)
 
-    def __init__(self, *, is_gone: bool) -> None:
+    def __init__(self, *, is_disconnected: bool) -> None:
         """Say which of the two it is."""
-        self.is_gone = is_gone
+        self.is_disconnected = is_disconnected
 
 
 async def read_inbound(
@@ -73,11 +73,11 @@
     while is_more:
         message = await receive()
         if message['type'] == _DISCONNECT:
-            return Error(ReadFailure(is_gone=True))
+            return Error(ReadFailure(is_disconnected=True))
         chunks.append(message.get('body', b''))
         size += len(chunks[-1])
         if size > max_body_bytes:
-            return Error(ReadFailure(is_gone=False))
+            return Error(ReadFailure(is_disconnected=False))
         is_more = message.get('more_body', False)
     return Ok(_inbound_of(scope, b''.join(chunks)))
 
@@ -111,7 +111,7 @@
     try:
         return await work
     except CancelledError:
-        if not watch.is_gone:
+        if not watch.is_disconnected:
             raise
         watch.worker.uncancel()
         return None
@@ -122,21 +122,21 @@
 class _DisconnectWatch:
     """Cancels the task that made it when the caller goes away."""
 
-    __slots__ = ('is_gone', 'worker', '_receive')
+    __slots__ = ('is_disconnected', 'worker', '_receive')
 
     def __init__(self, receive: Receive) -> None:
         task = current_task()
         if task is None:
             raise RuntimeError('no task is running; await this in a task')
         self.worker = task
-        self.is_gone = False
+        self.is_disconnected = False
         self._receive = receive
 
     async def run(self) -> None:
         message = await self._receive()
         while message['type'] != _DISCONNECT:
             message = await self._receive()
-        self.is_gone = True
+        self.is_disconnected = True
         self.worker.cancel()
 
 
--- a/src/lovageshunt/client/_inbound.py
+++ b/src/lovageshunt/client/_inbound.py
@@ -68,7 +68,7 @@
             return
         reading = await read_inbound(scope, receive, self._max_body_bytes)
         if reading.is_error():
-            if not reading.error.is_gone:
+            if not reading.error.is_disconnected:
                 await respond(
                     send,
                     status=_TOO_LARGE_STATUS,
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -111,7 +111,7 @@
             return
         reading = await read_inbound(scope, receive, self._max_body_bytes)
         if reading.is_error():
-            if not reading.error.is_gone:
+            if not reading.error.is_disconnected:
                 await _refuse(send, self._too_large())
             return
         inbound = reading.ok
--- a/src/lovageshunt/node/serving/_ingress.py
+++ b/src/lovageshunt/node/serving/_ingress.py
@@ -109,7 +109,7 @@
             await self._take_account(reading.ok, send)
         elif reading.is_ok():
             await self._serve(scope, reading.ok, receive, send)
-        elif not reading.error.is_gone:
+        elif not reading.error.is_disconnected:
             await self._turn_away(
                 self._rule_of(scope['method'], scope['path']),
                 send,
