--- a/src/lovageshunt/client/__init__.py
+++ b/src/lovageshunt/client/__init__.py
@@ -9,7 +9,7 @@
     Send,
     read_inbound,
     respond,
-    until_disconnect,
+    run_until_disconnect,
 )
 from lovageshunt.client._client import Client
 from lovageshunt.client._engine import Engine
@@ -56,5 +56,5 @@
     'read_inbound',
     'respond',
     'scope_of',
-    'until_disconnect',
+    'run_until_disconnect',
 ]
--- a/src/lovageshunt/client/_asgi.py
+++ b/src/lovageshunt/client/_asgi.py
@@ -101,7 +101,7 @@
     await send({'type': 'http.response.body', 'body': body})
 
 
-async def until_disconnect(
+async def run_until_disconnect(
     receive: Receive,
     work: Coroutine[Any, Any, ResultT],
 ) -> ResultT | None:
--- a/src/lovageshunt/client/_inbound.py
+++ b/src/lovageshunt/client/_inbound.py
@@ -22,7 +22,7 @@
     Send,
     read_inbound,
     respond,
-    until_disconnect,
+    run_until_disconnect,
 )
 from lovageshunt.client._client import Client
 from lovageshunt.client._options import DEFAULT_BODY_BYTES
@@ -80,7 +80,7 @@
         scope[_SCOPE_KEY] = calls
         answering = _Answering(self._client, calls, send)
         served = self._serve(scope, reading.ok, answering)
-        await until_disconnect(receive, served)
+        await run_until_disconnect(receive, served)
 
     async def _serve(
         self,
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -28,7 +28,7 @@
     call_error,
     read_inbound,
     respond,
-    until_disconnect,
+    run_until_disconnect,
 )
 from lovageshunt.clock import now
 from lovageshunt.errors import (
@@ -121,7 +121,7 @@
             return
         self._refresh()
         calling = self._call(found.ok, inbound)
-        reply = await until_disconnect(receive, calling)
+        reply = await run_until_disconnect(receive, calling)
         if reply is not None:
             await _answer(send, found.ok, reply)
 
--- a/src/lovageshunt/node/serving/_ingress.py
+++ b/src/lovageshunt/node/serving/_ingress.py
@@ -26,7 +26,7 @@
     encode_view,
     read_inbound,
     respond,
-    until_disconnect,
+    run_until_disconnect,
 )
 from lovageshunt.clock import now
 from lovageshunt.errors import MalformedSnapshotError
@@ -141,7 +141,7 @@
         call = self._begin(inbound, admissible.ok)
         if call.reply is None:
             waiting = self._wait(call)
-            if await until_disconnect(receive, waiting) is None:
+            if await run_until_disconnect(receive, waiting) is None:
                 self._calls.abandon(call, RefusalReason.CANCELLED)
                 return
         await self._answer(call, _reply_of(call), send)
