--- a/src/lovageshunt/node/control/_platform_loop.py
+++ b/src/lovageshunt/node/control/_platform_loop.py
@@ -15,14 +15,14 @@
     PUBLISHED_RULES,
     PUBLISHED_VMS,
     PlatformReader,
-    Published,
+    PublishedValue,
 )
 
 #: How long one watch waits for a change.
 _WATCH_SECONDS: Final = 30.0
 _log = getLogger(__name__)
 
-_Reading = Result[Published, PlatformUnavailableError]
+_Reading = Result[PublishedValue, PlatformUnavailableError]
 
 
 class PlatformLoop:
@@ -112,7 +112,7 @@
             self._failing.discard(name)
             _log.info('the platform gives %s again', name)
 
-    def _take(self, name: str, published: Published) -> None:
+    def _take(self, name: str, published: PublishedValue) -> None:
         self._revision_by_name[name] = published.revision
         if name == PUBLISHED_VMS:
             vm_list = vm_list_of(published)
--- a/src/lovageshunt/node/control/_reading.py
+++ b/src/lovageshunt/node/control/_reading.py
@@ -7,7 +7,7 @@
 
 from lovageshunt.errors import LovageshuntError, MalformedMembershipError
 from lovageshunt.membership import ListedVm, VmList, VmState
-from lovageshunt.published import Published
+from lovageshunt.published import PublishedValue
 from lovageshunt.rules import DocumentRead, decode_document, version_of
 
 _VM_FIELDS: Final = (
@@ -21,7 +21,7 @@
 
 
 def vm_list_of(
-    published: Published,
+    published: PublishedValue,
 ) -> Result[VmList, MalformedMembershipError]:
     """Return the list of VMs in a published value."""
     if not isinstance(published.document, list):
@@ -34,7 +34,7 @@
 
 
 def document_of(
-    published: Published,
+    published: PublishedValue,
 ) -> Result[DocumentRead, LovageshuntError]:
     """Return the rules in a published value, at their version."""
     decoded = decode_document(orjson.dumps(published.document))
--- a/src/lovageshunt/published/__init__.py
+++ b/src/lovageshunt/published/__init__.py
@@ -4,12 +4,12 @@
     PUBLISHED_RULES,
     PUBLISHED_VMS,
     PlatformReader,
-    Published,
+    PublishedValue,
 )
 
 __all__ = [
     'PUBLISHED_RULES',
     'PUBLISHED_VMS',
     'PlatformReader',
-    'Published',
+    'PublishedValue',
 ]
--- a/src/lovageshunt/published/_published.py
+++ b/src/lovageshunt/published/_published.py
@@ -25,7 +25,7 @@
 _HTTP_NOT_MODIFIED: Final = 304
 
 
-class Published(Record):
+class PublishedValue(Record):
     """A published value at one revision; ``document`` is decoded JSON.
 
     ``is_news`` is false when a watch ended without a change.
@@ -77,7 +77,7 @@
     async def read(
         self,
         name: str,
-    ) -> Result[Published, PlatformUnavailableError]:
+    ) -> Result[PublishedValue, PlatformUnavailableError]:
         """Read one value now."""
         return await self._get(name, f'/v1/values/{name}', 0)
 
@@ -87,7 +87,7 @@
         *,
         after: int,
         wait_seconds: float,
-    ) -> Result[Published, PlatformUnavailableError]:
+    ) -> Result[PublishedValue, PlatformUnavailableError]:
         """Wait until the value's revision differs from ``after``."""
         wait_ms = int(wait_seconds * _MS_PER_SECOND)
         target = f'/v1/values/{name}?after={after}&wait_ms={wait_ms}'
@@ -99,7 +99,7 @@
         target: str,
         wait_seconds: float,
         after: int = 0,
-    ) -> Result[Published, PlatformUnavailableError]:
+    ) -> Result[PublishedValue, PlatformUnavailableError]:
         address = self._addresses[self._turn % len(self._addresses)]
         self.read_count += 1
         exchange = await self._transport.send(
@@ -123,17 +123,17 @@
     address: str,
     exchange: Result[HttpResponse, ExchangeFailure],
     after: int,
-) -> Result[Published, PlatformUnavailableError]:
+) -> Result[PublishedValue, PlatformUnavailableError]:
     if exchange.is_error():
         detail = exchange.error.detail
         return Error(PlatformUnavailableError(name, address, detail))
     answer = exchange.ok
     if answer.status == _HTTP_NOT_MODIFIED:
-        return Ok(Published(revision=after, document=None, is_news=False))
+        return Ok(PublishedValue(revision=after, document=None, is_news=False))
     if answer.status != _HTTP_OK:
         detail = f'status {answer.status}'
         return Error(PlatformUnavailableError(name, address, detail))
     try:
-        return Ok(Published.from_answer(answer.body))
+        return Ok(PublishedValue.from_answer(answer.body))
     except ValueError as error:
         return Error(PlatformUnavailableError(name, address, str(error)))
--- a/tests/node/control/test_platform_loop.py
+++ b/tests/node/control/test_platform_loop.py
@@ -9,7 +9,7 @@
 
 from lovageshunt.errors import PlatformUnavailableError
 from lovageshunt.node.control._platform_loop import PlatformLoop
-from lovageshunt.published import Published
+from lovageshunt.published import PublishedValue
 from lovageshunt.rules import encode_document, parse_sheet
 from tests.node.parts import SHEET
 
@@ -20,7 +20,9 @@
     def __init__(self):
         """Begin with an outage."""
         self.is_out = True
-        self.published = Published(revision=1, document=None, is_news=False)
+        self.published = PublishedValue(
+            revision=1, document=None, is_news=False
+        )
 
     async def read(self, name):
         """Give nothing new, or the failure."""
@@ -75,7 +77,7 @@
         assert not told
         reader.is_out = False
         document = encode_document(parse_sheet(SHEET).ok.document)
-        reader.published = Published(
+        reader.published = PublishedValue(
             revision=1,
             document=orjson.loads(document),
         )
