--- a/src/lovageshunt/node/control/_platform_loop.py
+++ b/src/lovageshunt/node/control/_platform_loop.py
@@ -94,7 +94,7 @@
     def _report(self, readings: dict[str, _Reading]) -> None:
         for name, reading in readings.items():
             self._log_change(name, reading)
-            if reading.is_ok() and reading.ok.is_news:
+            if reading.is_ok() and reading.ok.is_changed:
                 self._take(name, reading.ok)
         has_answer = any(reading.is_ok() for reading in readings.values())
         if has_answer and self._last_list is not None:
--- a/src/lovageshunt/published/_published.py
+++ b/src/lovageshunt/published/_published.py
@@ -28,22 +28,22 @@
 class PublishedValue(Record):
     """A published value at one revision; ``document`` is decoded JSON.
 
-    ``is_news`` is false when a watch ended without a change.
+    ``is_changed`` is false when a watch ended without a change.
     """
 
-    __slots__ = ('revision', 'document', 'is_news')
+    __slots__ = ('revision', 'document', 'is_changed')
 
     def __init__(
         self,
         *,
         revision: int,
         document: object,
-        is_news: bool = True,
+        is_changed: bool = True,
     ) -> None:
         """Take the revision and the value."""
         self.revision = revision
         self.document = document
-        self.is_news = is_news
+        self.is_changed = is_changed
 
     @classmethod
     def from_answer(cls, body: bytes) -> Self:
@@ -129,7 +129,9 @@
         return Error(PlatformUnavailableError(name, address, detail))
     answer = exchange.ok
     if answer.status == _HTTP_NOT_MODIFIED:
-        return Ok(PublishedValue(revision=after, document=None, is_news=False))
+        return Ok(
+            PublishedValue(revision=after, document=None, is_changed=False)
+        )
     if answer.status != _HTTP_OK:
         detail = f'status {answer.status}'
         return Error(PlatformUnavailableError(name, address, detail))
--- a/tests/node/control/test_platform_loop.py
+++ b/tests/node/control/test_platform_loop.py
@@ -21,7 +21,7 @@
         """Begin with an outage."""
         self.is_out = True
         self.published = PublishedValue(
-            revision=1, document=None, is_news=False
+            revision=1, document=None, is_changed=False
         )
 
     async def read(self, name):
