--- a/src/lovageshunt/client/_inbound.py
+++ b/src/lovageshunt/client/_inbound.py
@@ -166,7 +166,7 @@
         said.unspent = self.calls.unspent
         said.threshold_by_service = self._client.engine.thresholds.advertised(
             now(),
-            self.calls.asked,
+            self.calls.called_services,
         )
         return said
 
--- a/src/lovageshunt/client/_scope.py
+++ b/src/lovageshunt/client/_scope.py
@@ -52,7 +52,7 @@
         self._calls = 0
         self._answered: list[KindRule] = []
         #: The services that were called for this request at this hop.
-        self.asked: set[str] = set()
+        self.called_services: set[str] = set()
         #: The outcome that the hop's own answer must state, if not answered.
         self.stated: AnswerInfo | None = None
 
@@ -149,7 +149,7 @@
     ) -> Result[Answer, CallError]:
         rule = self._rule_for(call)
         self._calls += 1
-        self.asked.add(call.service)
+        self.called_services.add(call.service)
         context = self._call_context(rule, self._calls)
         attempts = Attempts(
             self._engine,
--- a/src/lovageshunt/node/egress/_below.py
+++ b/src/lovageshunt/node/egress/_below.py
@@ -82,7 +82,7 @@
             unspent=below.scope.unspent,
             threshold_by_service=self._engine.thresholds.advertised(
                 now(),
-                below.scope.asked,
+                below.scope.called_services,
             ),
         )
         if reply.reason is None and outcome is not Outcome.ANSWERED:
