--- a/src/lovageshunt/published/__init__.py
+++ b/src/lovageshunt/published/__init__.py
@@ -1,4 +1,4 @@
-"""The reader of what the platform publishes."""
+"""Reads the values that the platform's configuration service publishes."""
 
 from lovageshunt.published._published import (
     PUBLISHED_RULES,
--- a/src/lovageshunt/published/_published.py
+++ b/src/lovageshunt/published/_published.py
@@ -1,8 +1,9 @@
 """Reads and watches the platform's configuration service.
 
 The service is only read. ``GET /v1/values/NAME`` returns a JSON object with
-``revision`` and ``value``; with ``after`` and ``wait_ms`` it waits until the
-revision differs from ``after``, and returns 304 when it did not in that time.
+``revision`` and ``value``. With ``after`` and ``wait_ms`` it waits until the
+revision differs from ``after``, and returns 304 if it does not within
+``wait_ms``.
 """
 
 from typing import Final, Self
@@ -14,11 +15,11 @@
 from lovageshunt.client import ExchangeFailure, HttpResponse, Transport
 from lovageshunt.errors import PlatformUnavailableError
 
-#: The published value that holds the rules in force.
+#: The name of the value that holds the rules in force.
 PUBLISHED_RULES: Final = 'rules'
-#: The published value that holds the list of VMs.
+#: The name of the value that holds the list of VMs.
 PUBLISHED_VMS: Final = 'vms'
-#: Added to a watch's wait before the exchange counts as lost.
+#: Added to the timeout of a watch, beyond the wait that it asks for.
 _GRACE_SECONDS: Final = 2.0
 _MS_PER_SECOND: Final = 1000
 _HTTP_OK: Final = 200
@@ -28,7 +29,8 @@
 class PublishedValue(Record):
     """A published value at one revision; ``document`` is decoded JSON.
 
-    ``is_changed`` is false when a watch ended without a change.
+    ``is_changed`` is false if a watch ended without a change; ``document``
+    is None then.
     """
 
     __slots__ = ('revision', 'document', 'is_changed')
@@ -40,24 +42,27 @@
         document: object,
         is_changed: bool = True,
     ) -> None:
-        """Take the revision and the value."""
         self.revision = revision
         self.document = document
         self.is_changed = is_changed
 
     @classmethod
-    def from_answer(cls, body: bytes) -> Self:
-        """Decode an answer; raises ``ValueError`` when it is none."""
+    def from_body(cls, body: bytes) -> Self:
+        """Decode a response body; raises ``ValueError`` if malformed."""
         fields = orjson.loads(body)
         if not isinstance(fields, dict) or 'value' not in fields:
-            raise ValueError('no object with revision and value')
+            raise ValueError('expected a JSON object with revision and value')
         if not isinstance(fields.get('revision'), int):
-            raise ValueError('no whole revision')
+            raise ValueError('expected an integer revision')
         return cls(revision=fields['revision'], document=fields['value'])
 
 
 class PlatformReader:
-    """Reads from the platform's addresses in turn; it never writes."""
+    """Reads published values from the platform; it never writes.
+
+    ``addresses`` are IP:PORT; after a failed read the next one is used.
+    ``timeout_seconds`` is that of a read without a wait.
+    """
 
     def __init__(
         self,
@@ -66,19 +71,18 @@
         transport: Transport,
         timeout_seconds: float = 2.0,
     ) -> None:
-        """Keep the addresses (IP:PORT) and the transport."""
         self._addresses = addresses
         self._transport = transport
         self._timeout_seconds = timeout_seconds
-        self._turn = 0
-        #: How many calls this process has made to the platform.
+        self._address_index = 0
+        #: The number of requests sent to the platform so far.
         self.read_count = 0
 
     async def read(
         self,
         name: str,
     ) -> Result[PublishedValue, PlatformUnavailableError]:
-        """Read one value now."""
+        """Read the current revision of one value."""
         return await self._get(name, f'/v1/values/{name}', 0)
 
     async def watch(
@@ -88,7 +92,10 @@
         after: int,
         wait_seconds: float,
     ) -> Result[PublishedValue, PlatformUnavailableError]:
-        """Wait until the value's revision differs from ``after``."""
+        """Wait until the value's revision differs from ``after``.
+
+        Returns an unchanged value after ``wait_seconds``.
+        """
         wait_ms = int(wait_seconds * _MS_PER_SECOND)
         target = f'/v1/values/{name}?after={after}&wait_ms={wait_ms}'
         return await self._get(name, target, wait_seconds, after)
@@ -100,7 +107,7 @@
         wait_seconds: float,
         after: int = 0,
     ) -> Result[PublishedValue, PlatformUnavailableError]:
-        address = self._addresses[self._turn % len(self._addresses)]
+        address = self._addresses[self._address_index % len(self._addresses)]
         self.read_count += 1
         exchange = await self._transport.send(
             address=address,
@@ -112,13 +119,13 @@
             + wait_seconds
             + _GRACE_SECONDS * bool(wait_seconds),
         )
-        reading = _reading_of(name, address, exchange, after)
-        if reading.is_error():
-            self._turn += 1
-        return reading
+        result = _result_of(name, address, exchange, after)
+        if result.is_error():
+            self._address_index += 1
+        return result
 
 
-def _reading_of(
+def _result_of(
     name: str,
     address: str,
     exchange: Result[HttpResponse, ExchangeFailure],
@@ -133,9 +140,9 @@
             PublishedValue(revision=after, document=None, is_changed=False)
         )
     if answer.status != _HTTP_OK:
-        detail = f'status {answer.status}'
+        detail = f'expected HTTP status 200, got {answer.status}'
         return Error(PlatformUnavailableError(name, address, detail))
     try:
-        return Ok(PublishedValue.from_answer(answer.body))
+        return Ok(PublishedValue.from_body(answer.body))
     except ValueError as error:
         return Error(PlatformUnavailableError(name, address, str(error)))
