--- a/src/lovageshunt/client/__init__.py
+++ b/src/lovageshunt/client/__init__.py
@@ -1,4 +1,4 @@
-"""The library that callers and targets embed."""
+"""The client library that callers, targets and nodes embed."""
 
 from lovageshunt.client._asgi import (
     AsgiApp,
--- a/src/lovageshunt/client/_asgi.py
+++ b/src/lovageshunt/client/_asgi.py
@@ -1,4 +1,4 @@
-"""Reads requests and sends answers at the ASGI border, whole."""
+"""Reads complete ASGI requests and sends complete ASGI responses."""
 
 from asyncio import CancelledError, create_task, current_task
 from collections.abc import (
@@ -26,10 +26,11 @@
 
 
 class InboundRequest(Record):
-    """A request read to its last byte.
+    """A request that was read completely.
 
-    ``target`` is the path with its query as it came; the names in
-    ``headers`` are lower case.
+    ``target`` is the path with its query as received, still percent-encoded;
+    ``path`` is decoded and has no query. The names in ``headers`` are lower
+    case.
     """
 
     __slots__ = ('method', 'path', 'target', 'headers', 'body')
@@ -43,7 +44,6 @@
         headers: dict[str, str],
         body: bytes,
     ) -> None:
-        """Take the parts of the request."""
         self.method = method
         self.path = path
         self.target = target
@@ -52,12 +52,15 @@
 
 
 class ReadFailure(Record):
-    """Why a request was not read: too large, or its caller went away."""
+    """Why a request was not read.
+
+    ``is_disconnected`` is true if its caller disconnected, and false if the
+    body exceeds the limit.
+    """
 
     __slots__ = ('is_disconnected',)
 
     def __init__(self, *, is_disconnected: bool) -> None:
-        """Say which of the two it is."""
         self.is_disconnected = is_disconnected
 
 
@@ -66,7 +69,7 @@
     receive: Receive,
     max_body_bytes: int,
 ) -> Result[InboundRequest, ReadFailure]:
-    """Read a whole request; a body above the bound is refused."""
+    """Read a request to its end, or return why that failed."""
     chunks = []
     size = 0
     is_more = True
@@ -89,7 +92,7 @@
     headers: list[tuple[bytes, bytes]],
     body: bytes,
 ) -> None:
-    """Send a whole answer with its length."""
+    """Send a complete response with its ``content-length``."""
     length = str(len(body)).encode()
     await send(
         {
@@ -105,7 +108,7 @@
     receive: Receive,
     work: Coroutine[Any, Any, ResultT],
 ) -> ResultT | None:
-    """Run the work; cancel it and return None when its caller goes away."""
+    """Run the work; cancel it and return None if the caller disconnects."""
     watch = _DisconnectWatch(receive)
     watcher = create_task(watch.run())
     try:
@@ -120,14 +123,14 @@
 
 
 class _DisconnectWatch:
-    """Cancels the task that made it when the caller goes away."""
+    """Cancels the task that created it when the caller disconnects."""
 
     __slots__ = ('is_disconnected', 'worker', '_receive')
 
     def __init__(self, receive: Receive) -> None:
         task = current_task()
         if task is None:
-            raise RuntimeError('no task is running; await this in a task')
+            raise RuntimeError('no running task; await this from a task')
         self.worker = task
         self.is_disconnected = False
         self._receive = receive
@@ -156,14 +159,17 @@
 
 
 def _headers_of(pairs: Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
-    """Return the headers by name; those of one name are joined."""
+    """Return the headers by name; repeated headers are joined.
+
+    Cookies are joined with a semicolon, all others with a comma.
+    """
     by_name: dict[str, str] = {}
     for raw_name, raw_text in pairs:
         name = raw_name.decode('latin-1')
         text = raw_text.decode('latin-1')
         known = by_name.get(name)
         if known is not None:
-            joint = '; ' if name == 'cookie' else ', '
-            text = f'{known}{joint}{text}'
+            separator = '; ' if name == 'cookie' else ', '
+            text = f'{known}{separator}{text}'
         by_name[name] = text
     return by_name
--- a/src/lovageshunt/client/_attempt.py
+++ b/src/lovageshunt/client/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a call: sent to one member's node, and read."""
+"""Sends one attempt of a call to the node of one member."""
 
 from typing import Final
 
@@ -25,29 +25,30 @@
 from lovageshunt.routing import RouteMember
 
 _MS_PER_SECOND: Final = 1000
-#: The node answers by the deadline; this is the way there and back.
+#: Added to the timeout, since the node may answer up to the deadline and its
+#: answer still has to cross the network.
 _GRACE_SECONDS: Final = 0.25
 
 
-class AttemptEnd(Record):
+class AttemptResult(Record):
     """How one attempt ended.
 
-    ``said`` is the control part of the answer, made up when none arrived.
-    ``is_lost`` marks an attempt that brought no answer at all.
+    ``info`` is the control part of the answer, or what the client infers if
+    no valid answer arrived; ``is_lost`` is true then. ``response`` is the
+    HTTP response of a valid answer.
     """
 
-    __slots__ = ('said', 'whole', 'is_lost')
+    __slots__ = ('info', 'response', 'is_lost')
 
     def __init__(
         self,
         *,
-        said: AnswerInfo,
-        whole: HttpResponse | None = None,
+        info: AnswerInfo,
+        response: HttpResponse | None = None,
         is_lost: bool = False,
     ) -> None:
-        """Take the control part and the answer, if one arrived."""
-        self.said = said
-        self.whole = whole
+        self.info = info
+        self.response = response
         self.is_lost = is_lost
 
 
@@ -57,8 +58,11 @@
     call: Call,
     context: CallContext,
     key: ContextKey | None,
-) -> AttemptEnd:
-    """Send one attempt and return how it ended."""
+) -> AttemptResult:
+    """Send one attempt and wait for its end.
+
+    The answer is only valid if it states this call and its own body length.
+    """
     exchange = await transport.send(
         address=member.address,
         method=call.method,
@@ -68,38 +72,46 @@
         timeout_seconds=context.timeout_ms / _MS_PER_SECOND + _GRACE_SECONDS,
     )
     if exchange.is_error():
-        return _end_of_loss(exchange.error, context)
-    return _end_of_answer(exchange.ok, context)
+        return _result_of_failure(exchange.error, context)
+    return _result_of_response(exchange.ok, context)
 
 
-def _end_of_loss(lost: ExchangeFailure, context: CallContext) -> AttemptEnd:
-    if lost.is_unsent:
-        return _made_up(
+def _result_of_failure(
+    failure: ExchangeFailure, context: CallContext
+) -> AttemptResult:
+    if failure.is_unsent:
+        return _inferred_result(
             context,
             Outcome.NOT_RUN,
             RefusalReason.CONNECTION_LOST,
         )
     reason = RefusalReason.CONNECTION_LOST
-    if lost.kind is ExchangeFailureKind.LATE:
+    if failure.kind is ExchangeFailureKind.LATE:
         reason = RefusalReason.DEADLINE
-    return _made_up(context, Outcome.UNKNOWN, reason)
+    return _inferred_result(context, Outcome.UNKNOWN, reason)
 
 
-def _end_of_answer(whole: HttpResponse, context: CallContext) -> AttemptEnd:
-    header = whole.headers.get(ANSWER_HEADER, '')
+def _result_of_response(
+    response: HttpResponse, context: CallContext
+) -> AttemptResult:
+    header = response.headers.get(ANSWER_HEADER, '')
     try:
-        said = decode_answer(header, context.call_id)
+        info = decode_answer(header, context.call_id)
     except MalformedAnswerError:
-        return _made_up(context, Outcome.UNKNOWN, RefusalReason.MALFORMED)
-    if said.body_length != len(whole.body):
-        return _made_up(context, Outcome.UNKNOWN, RefusalReason.MALFORMED)
-    return AttemptEnd(said=said, whole=whole)
+        return _inferred_result(
+            context, Outcome.UNKNOWN, RefusalReason.MALFORMED
+        )
+    if info.body_length != len(response.body):
+        return _inferred_result(
+            context, Outcome.UNKNOWN, RefusalReason.MALFORMED
+        )
+    return AttemptResult(info=info, response=response)
 
 
-def _made_up(
+def _inferred_result(
     context: CallContext,
     outcome: Outcome,
     reason: RefusalReason,
-) -> AttemptEnd:
-    said = AnswerInfo(call_id=context.call_id, outcome=outcome, reason=reason)
-    return AttemptEnd(said=said, is_lost=True)
+) -> AttemptResult:
+    info = AnswerInfo(call_id=context.call_id, outcome=outcome, reason=reason)
+    return AttemptResult(info=info, is_lost=True)
--- a/src/lovageshunt/client/_client.py
+++ b/src/lovageshunt/client/_client.py
@@ -1,4 +1,4 @@
-"""The client: reads the view from nodes, and begins requests."""
+"""The client: polls nodes for the view and starts requests."""
 
 from asyncio import CancelledError, Task, create_task, sleep
 from contextlib import suppress
@@ -27,17 +27,19 @@
 from lovageshunt.errors import CallError, MalformedViewError
 
 _VIEW_TIMEOUT_SECONDS: Final = 1.0
-#: A root request without a time of its own has the time of its rule.
-_LONGEST_TIMEOUT_MS: Final = 3_600_000
-_ACCOUNT_SECONDS: Final = 30.0
+#: The default for root requests, so high that the rule's timeout applies.
+_MAX_TIMEOUT_MS: Final = 3_600_000
+_ACCOUNT_INTERVAL_SECONDS: Final = 30.0
 _HTTP_OK: Final = 200
 
 
 class Client:
-    """Calls services by their names."""
+    """Calls services by name.
+
+    ``start`` opens connections, ``close`` closes them.
+    """
 
     def __init__(self, options: ClientOptions) -> None:
-        """Keep the options; ``start`` opens connections."""
         self._options = options
         self._transport = Transport(
             max_body_bytes=options.max_body_bytes,
@@ -45,27 +47,27 @@
         )
         self.engine = Engine(options, self._transport, Random())  # noqa: S311
         self._seeds = cycle(options.seeds)
-        self._watcher: Task[None] | None = None
+        self._poller: Task[None] | None = None
 
     async def start(self) -> None:
-        """Open the transport, ask every seed, and follow the view."""
+        """Read the view from every seed, then poll it in the background."""
         await self._transport.start()
         if self._options.services:
             for _ in self._options.seeds:
                 await self.refresh()
-            self._watcher = create_task(self._follow_view())
+            self._poller = create_task(self._poll_view())
 
     async def close(self) -> None:
-        """Stop following the view and close every connection."""
-        if self._watcher is not None:
-            self._watcher.cancel()
+        """Stop polling, send the account and close every connection."""
+        if self._poller is not None:
+            self._poller.cancel()
             with suppress(CancelledError):
-                await self._watcher
+                await self._poller
             await self.send_account()
         await self._transport.close()
 
     async def refresh(self) -> bool:
-        """Read the view from the next seed; say whether that went well."""
+        """Read the view from the next seed; return false if that failed."""
         services = ','.join(self._options.services)
         exchange = await self._transport.send(
             address=next(self._seeds),
@@ -81,21 +83,21 @@
             view = decode_view(exchange.ok.body)
         except MalformedViewError:
             return False
-        self._adopt(view)
+        self._merge_view(view)
         return True
 
     def request(
         self,
         *,
         request_id: str = '',
-        timeout_ms: int = _LONGEST_TIMEOUT_MS,
+        timeout_ms: int = _MAX_TIMEOUT_MS,
         attempt: int = 1,
         age_ms: int = 0,
     ) -> CallScope:
-        """Begin a root request, or repeat one under its id.
+        """Start a root request, or repeat one under its id.
 
-        A repetition has the id and the next ``attempt`` number; ``age_ms``
-        is the time since the first one.
+        To repeat one, pass its ``request_id``, the next ``attempt`` number
+        and, as ``age_ms``, the milliseconds since its first attempt.
         """
         context = root_context(
             request_id or uuid4().hex,
@@ -106,7 +108,7 @@
         return CallScope(self.engine, context, is_root=True)
 
     def inner_scope(self, context: CallContext) -> CallScope:
-        """Return the scope of a call that arrived at this target."""
+        """Return the scope of a call that this target received."""
         return CallScope(self.engine, context, is_root=False)
 
     async def call(
@@ -118,7 +120,7 @@
         body: bytes = b'',
         headers: dict[str, str] | None = None,
     ) -> Result[Answer, CallError]:
-        """Make a root request of one call."""
+        """Make a root request that consists of one call."""
         return await self.request().call(
             service,
             method,
@@ -128,7 +130,7 @@
         )
 
     async def send_account(self) -> bool:
-        """Give the own account to a node to keep; say whether it took it."""
+        """Send the account to the next seed; return whether it was stored."""
         snapshot = self.engine.account.snapshot(time())
         exchange = await self._transport.send(
             address=next(self._seeds),
@@ -140,29 +142,30 @@
         )
         return exchange.is_ok() and exchange.ok.status == _HTTP_OK
 
-    def _adopt(self, view: View) -> None:
-        known = self.engine.view
-        # Seeds know different services, and not all are up to date: what is
-        # missing stays, and an older generation never replaces a newer.
+    def _merge_view(self, view: View) -> None:
+        current = self.engine.view
+        # Seeds know different services, and some lag behind: services that
+        # are missing from a view are kept, and rules of an older generation
+        # never replace newer ones.
         newer = view.rules_by_service
-        older = known.rules_by_service
-        if view.generation < known.generation:
+        older = current.rules_by_service
+        if view.generation < current.generation:
             newer, older = older, newer
         merged = View(
-            generation=max(known.generation, view.generation),
+            generation=max(current.generation, view.generation),
             rules_by_service={**older, **newer},
             members_by_service={
-                **known.members_by_service,
+                **current.members_by_service,
                 **view.members_by_service,
             },
         )
         self.engine.adopt(merged, now())
 
-    async def _follow_view(self) -> None:
-        account_at = now() + _ACCOUNT_SECONDS
+    async def _poll_view(self) -> None:
+        next_account_at = now() + _ACCOUNT_INTERVAL_SECONDS
         while True:
-            if now() >= account_at:
-                account_at = now() + _ACCOUNT_SECONDS
+            if now() >= next_account_at:
+                next_account_at = now() + _ACCOUNT_INTERVAL_SECONDS
                 await self.send_account()
             jitter = self.engine.rng.uniform(0.8, 1.2)
             await sleep(self._options.view_seconds * jitter)
--- a/src/lovageshunt/client/_engine.py
+++ b/src/lovageshunt/client/_engine.py
@@ -1,4 +1,4 @@
-"""What all calls of one client share: the view, routers and budgets."""
+"""State that all calls of a client share: view, routers, retry budgets."""
 
 from random import Random
 from time import time
@@ -14,33 +14,39 @@
 from lovageshunt.retries import RetryBudget, RetryBudgetSettings
 from lovageshunt.routing import Router
 
-#: A typical time of answer before any was seen.
-_FIRST_TYPICAL_SECONDS: Final = 0.02
+#: Assumed until the first answer of a service has been measured.
+_INITIAL_TYPICAL_SECONDS: Final = 0.02
+#: Weight of a new sample in the moving average of answer times.
 _SMOOTHING: Final = 0.1
 
 
-class ServiceLink:
-    """What a client remembers of one service that it calls."""
+class ServiceState:
+    """What a client knows about one service that it calls.
+
+    ``typical_seconds`` is a moving average of answer times. ``calls_below``
+    is whether the service calls others, as its last answer reported.
+    """
 
     __slots__ = ('router', 'budget', 'typical_seconds', 'calls_below')
 
     def __init__(self, router: Router, budget: RetryBudget) -> None:
-        """Start with a guess of the time of answer."""
         self.router = router
         self.budget = budget
-        self.typical_seconds = _FIRST_TYPICAL_SECONDS
-        #: Whether the service calls others; its answers tell.
+        self.typical_seconds = _INITIAL_TYPICAL_SECONDS
         self.calls_below = True
 
     def succeeded(self, seconds: float, now: float) -> None:
-        """Take the time of a whole answer."""
+        """Record an answer and the time it took."""
         change = seconds - self.typical_seconds
         self.typical_seconds += _SMOOTHING * change
         self.budget.succeeded(now)
 
 
 class Engine:
-    """Holds the decisions that calls share; one for each client."""
+    """Holds the state behind the decisions of all calls of one client.
+
+    The view is empty until ``adopt`` is called.
+    """
 
     def __init__(
         self,
@@ -48,7 +54,6 @@
         transport: Transport,
         rng: Random,
     ) -> None:
-        """Start with an empty view."""
         self.options = options
         self.transport = transport
         self.rng = rng
@@ -60,17 +65,17 @@
             time(),
             role=Role.CALLER,
         )
-        self._link_by_service: dict[str, ServiceLink] = {}
+        self._state_by_service: dict[str, ServiceState] = {}
 
     def adopt(self, view: View, now: float) -> None:
-        """Take a new view; what is known of the same members is kept."""
+        """Replace the view; routers keep the state of remaining members."""
         self.view = view
         for service, members in view.members_by_service.items():
-            self.link(service, now).router.set_members(members, now)
+            self.service_state(service, now).router.set_members(members, now)
 
-    def link(self, service: str, now: float) -> ServiceLink:
-        """Return what is known of one service."""
-        known = self._link_by_service.get(service)
+    def service_state(self, service: str, now: float) -> ServiceState:
+        """Return the state of one service, created on first use."""
+        known = self._state_by_service.get(service)
         if known is not None:
             return known
         router = Router(
@@ -79,35 +84,39 @@
             own_region=self.options.region,
             rng=self.rng,
         )
-        link = ServiceLink(router, RetryBudget(RetryBudgetSettings(), now))
-        self._link_by_service[service] = link
-        return link
+        state = ServiceState(router, RetryBudget(RetryBudgetSettings(), now))
+        self._state_by_service[service] = state
+        return state
 
-    def refusal_ms(
+    def refusal_retry_after_ms(
         self,
         service: str,
         kind: str,
         level: int,
         now: float,
     ) -> int | None:
-        """Return when to come back if a service below would refuse now."""
-        own = self.thresholds.verdict(service, level, now)
-        if own is not None:
-            return own
-        named = f'{service}/{kind}'
-        return self.thresholds.verdict_of_kind(named, level, now)
-
-    def learn(
+        """Return the retry-after if a call of this level would be refused.
+
+        Considers the service itself and the services that this kind of call
+        depends on; None means that the call may be sent.
+        """
+        retry_after_ms = self.thresholds.verdict(service, level, now)
+        if retry_after_ms is not None:
+            return retry_after_ms
+        key = f'{service}/{kind}'
+        return self.thresholds.verdict_of_kind(key, level, now)
+
+    def learn_thresholds(
         self,
         service: str,
         kind: str,
-        said: AnswerInfo,
+        info: AnswerInfo,
         now: float,
     ) -> None:
-        """Take the thresholds that rode on an answer."""
-        by_service = said.threshold_by_service
-        for named, threshold in by_service.items():
-            self.thresholds.learn(named, threshold, now)
+        """Record the admission thresholds that an answer carried."""
+        by_service = info.threshold_by_service
+        for key, threshold in by_service.items():
+            self.thresholds.learn(key, threshold, now)
         below = [other for other in by_service if other != service]
         if below:
             self.thresholds.record_dependencies(f'{service}/{kind}', below, now)
--- a/src/lovageshunt/client/_inbound.py
+++ b/src/lovageshunt/client/_inbound.py
@@ -1,4 +1,4 @@
-"""The ASGI wrapper that a target puts around its application."""
+"""The ASGI middleware that a target puts around its application."""
 
 from asyncio import get_running_loop, timeout
 from typing import Final
@@ -31,18 +31,20 @@
 from lovageshunt.errors import MalformedContextError
 
 _SCOPE_KEY: Final = 'lovageshunt.scope'
-_FIRST_FAILURE_STATUS: Final = 500
+_MIN_FAILURE_STATUS: Final = 500
 _TOO_LARGE_STATUS: Final = 413
-_LATE_STATUS: Final = 504
-_LATE_RETRY_MS: Final = 1000
-_UNSTATED_TIMEOUT_MS: Final = 60_000
+_DEADLINE_STATUS: Final = 504
+_DEADLINE_RETRY_AFTER_MS: Final = 1000
+_DEFAULT_TIMEOUT_MS: Final = 60_000
 
 
 class InboundCalls:
-    """Gives each request its scope and keeps to deadline and cancellation.
+    """ASGI middleware that gives each request a ``CallScope``.
 
-    The application finds it with ``scope_of``. Its work is cancelled
-    when the caller goes away or the deadline passes.
+    The application gets it with ``scope_of``. The application is cancelled
+    when the caller disconnects or the deadline passes. A request whose body
+    exceeds ``max_body_bytes`` is answered with status 413 and never reaches
+    the application.
     """
 
     def __init__(
@@ -51,7 +53,6 @@
         client: Client,
         max_body_bytes: int = DEFAULT_BODY_BYTES,
     ) -> None:
-        """Wrap an application."""
         self._app = app
         self._client = client
         self._max_body_bytes = max_body_bytes
@@ -62,13 +63,13 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Serve one request."""
+        """Serve one HTTP request; pass other connections on unchanged."""
         if scope['type'] != 'http':
             await self._app(scope, receive, send)
             return
-        reading = await read_inbound(scope, receive, self._max_body_bytes)
-        if reading.is_error():
-            if not reading.error.is_disconnected:
+        read_result = await read_inbound(scope, receive, self._max_body_bytes)
+        if read_result.is_error():
+            if not read_result.error.is_disconnected:
                 await respond(
                     send,
                     status=_TOO_LARGE_STATUS,
@@ -76,34 +77,34 @@
                     body=b'',
                 )
             return
-        calls = _calls_of(self._client, reading.ok)
-        scope[_SCOPE_KEY] = calls
-        answering = _Answering(self._client, calls, send)
-        served = self._serve(scope, reading.ok, answering)
+        call_scope = _call_scope_of(self._client, read_result.ok)
+        scope[_SCOPE_KEY] = call_scope
+        sender = _ResponseSender(self._client, call_scope, send)
+        served = self._serve(scope, read_result.ok, sender)
         await run_until_disconnect(receive, served)
 
     async def _serve(
         self,
         scope: AsgiScope,
         inbound: InboundRequest,
-        answering: '_Answering',
+        sender: '_ResponseSender',
     ) -> None:
-        replay = _Replay(inbound.body)
+        replay = _BodyReplay(inbound.body)
         try:
-            async with timeout(answering.calls.seconds_left):
-                await self._app(scope, replay, answering)
+            async with timeout(sender.call_scope.seconds_left):
+                await self._app(scope, replay, sender)
         except TimeoutError:
-            await answering.send_late()
+            await sender.send_deadline_passed()
 
 
 def scope_of(scope: AsgiScope) -> CallScope:
-    """Return the calls of the request that an application is serving."""
-    calls: CallScope = scope[_SCOPE_KEY]
-    return calls
+    """Return the call scope of a request that ``InboundCalls`` wrapped."""
+    call_scope: CallScope = scope[_SCOPE_KEY]
+    return call_scope
 
 
-class _Replay:
-    """Gives the application the body that was read already, once."""
+class _BodyReplay:
+    """Passes the body, which was read already, to the application once."""
 
     __slots__ = ('_body', '_is_read')
 
@@ -113,68 +114,74 @@
 
     async def __call__(self) -> AsgiMessage:
         if self._is_read:
-            # Nothing follows: when the caller goes away, the application is
-            # cancelled. An answer at once would let its listener spin.
+            # Wait forever: if the caller disconnects, the application is
+            # cancelled. Returning at once would make an application that
+            # listens for a disconnect spin.
             await get_running_loop().create_future()
         self._is_read = True
         return {'type': 'http.request', 'body': self._body}
 
 
-class _Answering:
-    """Adds the control part to the application's answer."""
+class _ResponseSender:
+    """Adds the control part to the application's response."""
 
-    __slots__ = ('calls', '_client', '_send', '_has_begun')
+    __slots__ = ('call_scope', '_client', '_send', '_is_started')
 
-    def __init__(self, client: Client, calls: CallScope, send: Send) -> None:
-        self.calls = calls
+    def __init__(
+        self, client: Client, call_scope: CallScope, send: Send
+    ) -> None:
+        self.call_scope = call_scope
         self._client = client
         self._send = send
-        self._has_begun = False
+        self._is_started = False
 
     async def __call__(self, message: AsgiMessage) -> None:
         if message['type'] == 'http.response.start':
-            self._has_begun = True
-            said = encode_answer(self._said(message['status'])).encode()
-            header = (ANSWER_HEADER.encode(), said)
+            self._is_started = True
+            encoded_info = encode_answer(
+                self._response_info(message['status'])
+            ).encode()
+            header = (ANSWER_HEADER.encode(), encoded_info)
             message = {
                 **message,
                 'headers': [*message.get('headers', ()), header],
             }
         await self._send(message)
 
-    async def send_late(self) -> None:
-        if self._has_begun:
-            # The answer is cut, which its reader notices by its length.
+    async def send_deadline_passed(self) -> None:
+        if self._is_started:
+            # The response is truncated, which its reader detects by length.
             return
-        self.calls.stated = AnswerInfo(
-            call_id=self.calls.call_id,
+        self.call_scope.failure_info = AnswerInfo(
+            call_id=self.call_scope.call_id,
             outcome=Outcome.UNKNOWN,
             reason=RefusalReason.DEADLINE,
-            retry_after_ms=_LATE_RETRY_MS,
+            retry_after_ms=_DEADLINE_RETRY_AFTER_MS,
         )
-        await respond(self, status=_LATE_STATUS, headers=[], body=b'')
-
-    def _said(self, status: int) -> AnswerInfo:
-        said = self.calls.stated
-        if said is None:
-            is_good = status < _FIRST_FAILURE_STATUS
-            said = AnswerInfo(
-                call_id=self.calls.call_id,
-                outcome=Outcome.ANSWERED if is_good else Outcome.FAILED,
-                reason=None if is_good else RefusalReason.TARGET_FAILED,
+        await respond(self, status=_DEADLINE_STATUS, headers=[], body=b'')
+
+    def _response_info(self, status: int) -> AnswerInfo:
+        info = self.call_scope.failure_info
+        if info is None:
+            is_success = status < _MIN_FAILURE_STATUS
+            info = AnswerInfo(
+                call_id=self.call_scope.call_id,
+                outcome=Outcome.ANSWERED if is_success else Outcome.FAILED,
+                reason=None if is_success else RefusalReason.TARGET_FAILED,
             )
-        said.unspent = self.calls.unspent
-        said.threshold_by_service = self._client.engine.thresholds.advertised(
+        info.unspent = self.call_scope.unspent
+        info.threshold_by_service = self._client.engine.thresholds.advertised(
             now(),
-            self.calls.called_services,
+            self.call_scope.called_services,
         )
-        return said
+        return info
 
 
-def _calls_of(client: Client, inbound: InboundRequest) -> CallScope:
-    """Return the scope of a call; one that nobody vouches for is a root.
+def _call_scope_of(client: Client, inbound: InboundRequest) -> CallScope:
+    """Return the scope of a call.
 
-    A root has the importance and the retries of the rules.
+    A call whose context is missing, malformed or not signed with the key is
+    a root request: rules, not its caller, set its importance and retries.
     """
     try:
         context, is_known = decode_known_context(
@@ -182,8 +189,8 @@
             client.engine.options.context_key,
         )
     except MalformedContextError:
-        # Health checks and people call without a context.
-        return client.request(timeout_ms=_UNSTATED_TIMEOUT_MS)
+        # Health checks and manual requests carry no context.
+        return client.request(timeout_ms=_DEFAULT_TIMEOUT_MS)
     if is_known:
         return client.inner_scope(context)
     context.rank = rank_of(context.request_id)
--- a/src/lovageshunt/client/_messages.py
+++ b/src/lovageshunt/client/_messages.py
@@ -1,4 +1,4 @@
-"""What a program asks of a client, and what it gets."""
+"""The calls that a program makes, their answers and errors."""
 
 from collections.abc import Mapping
 
@@ -13,7 +13,7 @@
 
 
 class Call(Record):
-    """One call of a service; ``path`` carries the query, if any."""
+    """One call of a service; ``path`` includes the query, if any."""
 
     __slots__ = ('service', 'method', 'path', 'headers', 'body')
 
@@ -26,7 +26,6 @@
         headers: Mapping[str, str] | None = None,
         body: bytes = b'',
     ) -> None:
-        """Take the request's parts."""
         self.service = service
         self.method = method
         self.path = path
@@ -35,7 +34,7 @@
 
 
 class Answer(Record):
-    """A whole answer to a call; header names ignore case."""
+    """A complete answer to a call; header names are case-insensitive."""
 
     __slots__ = ('request_id', 'status', 'headers', 'body')
 
@@ -47,7 +46,6 @@
         headers: Mapping[str, str],
         body: bytes,
     ) -> None:
-        """Take the parts of the answer."""
         self.request_id = request_id
         self.status = status
         self.headers = headers
@@ -60,12 +58,15 @@
     reason: RefusalReason | None,
     retry_after_ms: int,
 ) -> CallError:
-    """Return the typed error for an outcome that is no answer."""
-    named = RefusalReason.TARGET_FAILED if reason is None else reason
-    # Every failure says when to come back, so 0 is no valid wait.
-    wait_ms = max(1, retry_after_ms)
+    """Return the typed error of a call that was not answered.
+
+    No ``reason`` means that the target failed.
+    """
+    known_reason = RefusalReason.TARGET_FAILED if reason is None else reason
+    # Every error carries a retry-after, so 0 is not valid.
+    valid_retry_after_ms = max(1, retry_after_ms)
     if outcome is Outcome.NOT_RUN:
-        return CallNotRunError(request_id, named, wait_ms)
+        return CallNotRunError(request_id, known_reason, valid_retry_after_ms)
     if outcome is Outcome.FAILED:
-        return CallFailedError(request_id, named, wait_ms)
-    return CallUnknownError(request_id, named, wait_ms)
+        return CallFailedError(request_id, known_reason, valid_retry_after_ms)
+    return CallUnknownError(request_id, known_reason, valid_retry_after_ms)
--- a/src/lovageshunt/client/_options.py
+++ b/src/lovageshunt/client/_options.py
@@ -1,4 +1,4 @@
-"""What a program tells the library about itself."""
+"""The options of a client."""
 
 from ssl import SSLContext
 from typing import Final
@@ -6,17 +6,19 @@
 from lovageshunt._record import Record
 from lovageshunt.calls import ContextKey
 
-#: The largest body of a request or an answer, unless settings say more.
+#: The default limit of the body of a request or an answer.
 DEFAULT_BODY_BYTES: Final = 1_048_576
 
 
 class ClientOptions(Record):
-    """Who the caller is and how it finds nodes.
-
-    ``seeds`` are ingress addresses (IP:PORT) of a few nodes, ``services``
-    those that it calls. The view is read again each ``view_seconds``. Nodes
-    with a key believe the importance only of calls signed with the same
-    ``context_key``.
+    """The identity of a caller and how it finds nodes.
+
+    ``name`` is the caller's name in the rules. ``seeds`` are the ingress
+    addresses (IP:PORT) of a few nodes, and ``services`` the names of the
+    services that it calls. ``max_body_bytes`` limits the bodies that are
+    read, and ``view_seconds`` is the interval between reads of the view.
+    Nodes that have a key trust the importance only of calls that are signed
+    with the same ``context_key``.
     """
 
     __slots__ = (
@@ -44,7 +46,6 @@
         tls: SSLContext | None = None,
         context_key: ContextKey | None = None,
     ) -> None:
-        """Take every field by name."""
         self.name = name
         self.failure_domain = failure_domain
         self.region = region
--- a/src/lovageshunt/client/_scope.py
+++ b/src/lovageshunt/client/_scope.py
@@ -22,7 +22,7 @@
 from lovageshunt.rules import KindRule
 
 _MS_PER_SECOND: Final = 1000
-_BOUND_RETRY_MS: Final = 5000
+_RETRY_BOUND_RETRY_AFTER_MS: Final = 5000
 _FAILED_STATUS: Final = 502
 _UNKNOWN_STATUS: Final = 504
 
@@ -30,8 +30,8 @@
 class CallScope:
     """One request at one hop, and the calls made for it.
 
-    Calls inherit the request's importance and rank, what is left of its
-    time, and shares of its retries.
+    Calls inherit the request's importance and rank, its remaining time and
+    shares of its retries. Its time runs from the creation of the scope.
     """
 
     def __init__(
@@ -41,45 +41,44 @@
         *,
         is_root: bool,
     ) -> None:
-        """Begin now; the time left counts from here."""
         self._engine = engine
         self._context = context
         self._is_root = is_root
-        self._began_at = now()
+        self._started_at = now()
         self._pool: AllowancePool | None = None
         if not is_root:
             self._pool = AllowancePool(context.retries_left)
-        self._calls = 0
+        self._call_count = 0
         self._answered: list[KindRule] = []
-        #: The services that were called for this request at this hop.
+        #: The services that this hop has called for the request.
         self.called_services: set[str] = set()
-        #: The outcome that the hop's own answer must state, if not answered.
-        self.stated: AnswerInfo | None = None
+        #: The control part that this hop must send if the request fails.
+        self.failure_info: AnswerInfo | None = None
 
     @property
     def context(self) -> CallContext:
-        """Return the context that the request came with."""
+        """The context of the request, as received by this hop."""
         return self._context
 
     @property
     def request_id(self) -> str:
-        """Return the id of the root request."""
+        """The id of the root request, which all its calls share."""
         return self._context.request_id
 
     @property
     def call_id(self) -> str:
-        """Return the id of the call that this hop serves."""
+        """The id of the call that this hop serves."""
         return self._context.call_id
 
     @property
     def unspent(self) -> int:
-        """Return the retries that this hop's answer gives back."""
+        """The unused retries that this hop's answer returns."""
         return self._pool.unspent if self._pool else 0
 
     @property
     def seconds_left(self) -> float:
-        """Return how much of the request's time is left."""
-        elapsed = now() - self._began_at
+        """The seconds until the request's deadline; negative after it."""
+        elapsed = now() - self._started_at
         return self._context.timeout_ms / _MS_PER_SECOND - elapsed
 
     async def call(
@@ -91,7 +90,7 @@
         body: bytes = b'',
         headers: dict[str, str] | None = None,
     ) -> Result[Answer, CallError]:
-        """Make one call and return its whole answer or typed failure."""
+        """Make one call and return its answer or its typed error."""
         call = Call(
             service=service,
             method=method,
@@ -101,18 +100,23 @@
         )
         pool = self._pool_for(call)
         if pool is None:
-            return Error(self._beyond_bound())
+            return Error(self._retry_bound_error())
         return await self._run(call, pool)
 
     async def call_all(
         self,
         calls: list[Call],
     ) -> list[Result[Answer, CallError]]:
-        """Make calls at once; their retries are divided before they start."""
-        whole = self._pool_for(calls[0]) if calls else None
-        if whole is None:
-            return [Error(self._beyond_bound()) for _ in calls]
-        pools = [AllowancePool(share) for share in whole.shares(len(calls))]
+        """Make calls concurrently and return their replies in order.
+
+        The retries are divided among the calls before they start.
+        """
+        shared_pool = self._pool_for(calls[0]) if calls else None
+        if shared_pool is None:
+            return [Error(self._retry_bound_error()) for _ in calls]
+        pools = [
+            AllowancePool(share) for share in shared_pool.shares(len(calls))
+        ]
         replies = await gather(
             *(
                 self._run(call, pool)
@@ -120,18 +124,18 @@
             ),
         )
         for pool in pools:
-            whole.give_back(share=pool.unspent, unspent=pool.unspent)
+            shared_pool.give_back(share=pool.unspent, unspent=pool.unspent)
         return list(replies)
 
     def failure_response(self, error: CallError) -> Response:
-        """Return what this hop answers when a call it needs has failed.
+        """Return this hop's response after a call that it needs has failed.
 
-        The hop has run itself, so the outcome is never *not run*.
+        The hop itself has run, so the outcome is never *not run*.
         """
         self._count_wasted()
         is_unknown = isinstance(error, CallUnknownError)
         outcome = Outcome.UNKNOWN if is_unknown else Outcome.FAILED
-        self.stated = AnswerInfo(
+        self.failure_info = AnswerInfo(
             call_id=self.call_id,
             outcome=outcome,
             reason=RefusalReason(error.reason),
@@ -148,9 +152,9 @@
         pool: AllowancePool,
     ) -> Result[Answer, CallError]:
         rule = self._rule_for(call)
-        self._calls += 1
+        self._call_count += 1
         self.called_services.add(call.service)
-        context = self._call_context(rule, self._calls)
+        context = self._call_context(rule, self._call_count)
         attempts = Attempts(
             self._engine,
             call=call,
@@ -165,7 +169,7 @@
         return reply
 
     def _count_wasted(self) -> None:
-        """Count what was answered for a request that fails now."""
+        """Count the answered calls of a request that fails as wasted."""
         for rule in self._answered:
             self._engine.account.wasted(
                 rule.service,
@@ -174,14 +178,17 @@
             )
 
     def _pool_for(self, call: Call) -> AllowancePool | None:
-        """Return the request's pool; a root's is that of its first call."""
+        """Return the retry pool of the request.
+
+        The rule of its first call determines that of a root request.
+        """
         if self._pool is None:
             rule = self._rule_for(call)
             share = allowance_for(rule.retry_bound, self._context.attempt)
             if share is not None:
                 self._pool = AllowancePool(share.retries)
             elif not rule.is_repeatable:
-                # It cannot run again, so this attempt only asks how it ended.
+                # It cannot run again; this attempt only queries its outcome.
                 self._pool = AllowancePool(0)
         return self._pool
 
@@ -195,7 +202,7 @@
         if self._is_root:
             importance = rule.importance_for(self._engine.options.name)
         left_ms = int(self.seconds_left * _MS_PER_SECOND)
-        elapsed = now() - self._began_at
+        elapsed = now() - self._started_at
         return CallContext(
             request_id=own.request_id,
             call_id=f'{own.call_id}.{number}',
@@ -209,13 +216,14 @@
             trace_parent=own.trace_parent,
         )
 
-    def _beyond_bound(self) -> CallError:
-        # Only a repeated request gets here, and what was tried may have run.
+    def _retry_bound_error(self) -> CallError:
+        # Only a repeated request gets here, and an earlier attempt may have
+        # run.
         return call_error(
             self.request_id,
             Outcome.FAILED,
             RefusalReason.RETRY_BOUND,
-            _BOUND_RETRY_MS,
+            _RETRY_BOUND_RETRY_AFTER_MS,
         )
 
 
@@ -226,7 +234,7 @@
     attempt: int,
     age_ms: int,
 ) -> CallContext:
-    """Return the context of a root request as its caller makes it."""
+    """Return the context of a root request; rules set the importance."""
     return CallContext(
         request_id=request_id,
         call_id=request_id,
--- a/src/lovageshunt/client/_transport.py
+++ b/src/lovageshunt/client/_transport.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange, whole or not at all."""
+"""Sends HTTP requests and reads complete responses."""
 
 from asyncio import timeout
 from collections.abc import Mapping
@@ -21,25 +21,30 @@
 
 from lovageshunt._record import Record
 
-#: Connections kept to one address; a new one costs about 1 ms.
-_CONNECTIONS_PER_HOST: Final = 256
-#: Shorter than the servers' own, so that no request meets a closing
-#: connection.
+#: Limit of connections to one address; a new one costs about 1 ms.
+_MAX_CONNECTIONS_PER_HOST: Final = 256
+#: Shorter than the keep-alive of the servers, so that no request is sent on a
+#: connection that the server is closing.
 KEEP_ALIVE_SECONDS: Final = 15.0
-_CONNECT_SECONDS: Final = 1.0
-#: The library would add these to a request; a call keeps its own headers,
-#: and only its caller knows which codings of an answer it reads.
-_LEFT_OUT: Final = ('accept', 'accept-encoding', 'content-type', 'user-agent')
+_CONNECT_TIMEOUT_SECONDS: Final = 1.0
+#: Headers that aiohttp would add. A call keeps its own headers, and only its
+#: caller knows which content codings it can decode.
+_SKIPPED_HEADERS: Final = (
+    'accept',
+    'accept-encoding',
+    'content-type',
+    'user-agent',
+)
 
 
 class ExchangeFailureKind(StrEnum):
-    """How an exchange was lost.
+    """How an exchange failed.
 
     ``REFUSED``: nothing listens at the address. ``UNSENT``: no connection
-    was made, and nothing is known of the other side. Of both, nothing was
-    written. ``CUT``: the connection ended after the first byte was written.
-    ``LATE``: no whole answer came in time. ``TOO_LARGE``: the answer exceeds
-    the bound.
+    was made, and the state of the peer is unknown. In both cases nothing
+    was written. ``CUT``: the connection ended after the first byte was
+    written. ``LATE``: no complete response arrived before the timeout.
+    ``TOO_LARGE``: the response exceeds the limit.
     """
 
     REFUSED = 'refused'
@@ -50,18 +55,20 @@
 
 
 class ExchangeFailure(Record):
-    """An exchange that brought no whole answer."""
+    """Why an exchange brought no complete response.
+
+    ``detail`` is the message of the underlying error.
+    """
 
     __slots__ = ('kind', 'detail')
 
     def __init__(self, *, kind: ExchangeFailureKind, detail: str) -> None:
-        """Keep the kind and the library's own words."""
         self.kind = kind
         self.detail = detail
 
     @property
     def is_unsent(self) -> bool:
-        """Return whether it is certain that nothing was written."""
+        """Whether it is certain that no byte of the request was written."""
         return self.kind in {
             ExchangeFailureKind.REFUSED,
             ExchangeFailureKind.UNSENT,
@@ -69,7 +76,7 @@
 
 
 class HttpResponse(Record):
-    """An answer that arrived to its last byte."""
+    """A complete HTTP response; header names are case-insensitive."""
 
     __slots__ = ('status', 'headers', 'body')
 
@@ -80,18 +87,18 @@
         headers: Mapping[str, str],
         body: bytes,
     ) -> None:
-        """Take the parts of the answer; header names ignore case."""
         self.status = status
         self.headers = headers
         self.body = body
 
 
 class Transport:
-    """Sends requests and returns whole answers.
+    """Sends requests and returns complete responses.
 
-    A connection whose answer was cut, cancelled or late is closed and never
-    used again. Nothing is sent twice: the library's own silent resend on a
-    kept-alive connection is switched off.
+    A connection whose response was truncated, cancelled or late is closed
+    and never reused. No request is sent twice: the silent resend of aiohttp
+    on a kept-alive connection is switched off. Requests fail as ``UNSENT``
+    before ``start`` and after ``close``.
     """
 
     def __init__(
@@ -101,7 +108,6 @@
         tls: SSLContext | None = None,
         keep_alive_seconds: float = KEEP_ALIVE_SECONDS,
     ) -> None:
-        """Keep the settings; ``start`` opens the session."""
         self._max_body_bytes = max_body_bytes
         self._tls = tls
         self._keep_alive_seconds = keep_alive_seconds
@@ -109,10 +115,10 @@
         self._session: ClientSession | None = None
 
     async def start(self) -> None:
-        """Open the session; called on the loop that will use it."""
+        """Open the session; call it on the event loop that will use it."""
         connector = TCPConnector(
             limit=0,
-            limit_per_host=_CONNECTIONS_PER_HOST,
+            limit_per_host=_MAX_CONNECTIONS_PER_HOST,
             keepalive_timeout=self._keep_alive_seconds,
             ssl=True if self._tls is None else self._tls,
             use_dns_cache=False,
@@ -121,11 +127,13 @@
             connector=connector,
             cookie_jar=DummyCookieJar(),
             auto_decompress=False,
-            skip_auto_headers=_LEFT_OUT,
-            timeout=ClientTimeout(total=None, sock_connect=_CONNECT_SECONDS),
+            skip_auto_headers=_SKIPPED_HEADERS,
+            timeout=ClientTimeout(
+                total=None, sock_connect=_CONNECT_TIMEOUT_SECONDS
+            ),
         )
-        # A silent resend would escape the retry allowance and could run a
-        # call twice; the library offers no public switch for it.
+        # A silent resend would bypass the retry allowance and could run a
+        # call twice; aiohttp has no public option to disable it.
         self._session._retry_connection = False  # noqa: SLF001, WPS437
 
     async def close(self) -> None:
@@ -144,10 +152,10 @@
         body: bytes,
         timeout_seconds: float,
     ) -> Result[HttpResponse, ExchangeFailure]:
-        """Send one request to ``address`` (IP:PORT), and wait for all of it.
+        """Send a request to ``address`` (IP:PORT) and read its response.
 
-        ``target`` is the path with its query. A cancellation passes through
-        and closes the connection.
+        ``target`` is the path with its query. A cancellation propagates and
+        closes the connection.
         """
         try:
             async with timeout(timeout_seconds):
@@ -155,14 +163,16 @@
                     address, method, target, headers, body
                 )
         except (ClientConnectorError, ConnectionTimeoutError) as unsent:
-            # The second is a TimeoutError too, so it is told apart first.
-            return _lost(_kind_of_unsent(unsent), str(unsent))
+            # ConnectionTimeoutError is a TimeoutError too, so this handler
+            # has to come first.
+            return _failed(_kind_of_unsent(unsent), str(unsent))
         except TimeoutError:
-            return _lost(
-                ExchangeFailureKind.LATE, f'no answer in {timeout_seconds} s'
+            return _failed(
+                ExchangeFailureKind.LATE,
+                f'no complete response within {timeout_seconds} s',
             )
         except (ClientError, OSError) as cut:
-            return _lost(ExchangeFailureKind.CUT, str(cut))
+            return _failed(ExchangeFailureKind.CUT, str(cut))
 
     async def _exchange(
         self,
@@ -173,7 +183,10 @@
         body: bytes,
     ) -> Result[HttpResponse, ExchangeFailure]:
         if self._session is None:
-            return _lost(ExchangeFailureKind.UNSENT, 'the transport is closed')
+            return _failed(
+                ExchangeFailureKind.UNSENT,
+                'the transport is not started or is closed',
+            )
         async with self._session.request(
             method,
             URL(f'{self._scheme}://{address}{target}', encoded=True),
@@ -184,9 +197,9 @@
             received = await self._read_bounded(response)
             if len(received) > self._max_body_bytes:
                 response.close()
-                return _lost(
+                return _failed(
                     ExchangeFailureKind.TOO_LARGE,
-                    f'more than {self._max_body_bytes} bytes',
+                    f'response body exceeds {self._max_body_bytes} bytes',
                 )
             return Ok(
                 HttpResponse(
@@ -197,7 +210,7 @@
             )
 
     async def _read_bounded(self, response: ClientResponse) -> bytes:
-        """Read the body, at most a little past the bound."""
+        """Read the body; stop at the first chunk beyond the limit."""
         chunks = []
         size = 0
         async for chunk in response.content.iter_any():
@@ -209,7 +222,8 @@
 
 
 def _kind_of_unsent(error: ClientError) -> ExchangeFailureKind:
-    # Cut off by the network, a VM has no route; a refusal is its own word.
+    # A VM cut off by the network has no route, which proves nothing about
+    # the peer; a refused connection was answered by the peer itself.
     if not isinstance(error, ClientConnectorError):
         return ExchangeFailureKind.UNSENT
     is_refused = isinstance(error.os_error, ConnectionRefusedError)
@@ -220,7 +234,7 @@
     )
 
 
-def _lost(
+def _failed(
     kind: ExchangeFailureKind,
     detail: str,
 ) -> Result[HttpResponse, ExchangeFailure]:
--- a/src/lovageshunt/client/_view.py
+++ b/src/lovageshunt/client/_view.py
@@ -1,4 +1,4 @@
-"""What a client knows: members and rules of the services that it calls."""
+"""The view of a client: members and rules of the services it calls."""
 
 from typing import Any, Final
 
@@ -15,15 +15,18 @@
     encode_parts,
 )
 
-#: Where a node's ingress serves its view to clients.
+#: The path at which the ingress of a node serves the view.
 VIEW_PATH: Final = '/lovageshunt/v1/view'
 
-#: Where a node's ingress takes the accounts of clients.
+#: The path at which the ingress of a node accepts clients' accounts.
 ACCOUNT_PATH: Final = '/lovageshunt/v1/account'
 
 
 class View(Record):
-    """Members and rules by service, and the generation of the rules."""
+    """Members and rules by service, and the generation of the rules.
+
+    Generation 0 means that there are no rules.
+    """
 
     __slots__ = ('generation', 'rules_by_service', 'members_by_service')
 
@@ -34,13 +37,12 @@
         rules_by_service: dict[str, ServiceRules],
         members_by_service: dict[str, list[RouteMember]],
     ) -> None:
-        """Take the three parts; generation 0 means that there are no rules."""
         self.generation = generation
         self.rules_by_service = rules_by_service
         self.members_by_service = members_by_service
 
     def rule_for(self, service: str, method: str, path: str) -> KindRule:
-        """Return the rule of a request, or the cautious default."""
+        """Return the rule of a request, or the conservative default rule."""
         rules = self.rules_by_service.get(service)
         rule = rules.kind_for(method, path) if rules else None
         return rule or default_rule(service, method, path)
@@ -54,7 +56,7 @@
 
 
 def encode_view(view: View) -> bytes:
-    """Return the view as JSON."""
+    """Encode the view as the JSON that ``decode_view`` reads."""
     return orjson.dumps(
         {
             'generation': view.generation,
@@ -68,7 +70,7 @@
 
 
 def decode_view(body: bytes) -> View:
-    """Return the view in JSON; raises ``MalformedViewError``."""
+    """Decode a view from JSON; raises ``MalformedViewError``."""
     try:
         return _view_of(body)
     except (LookupError, TypeError, ValueError) as error:
@@ -78,7 +80,7 @@
 def _view_of(body: bytes) -> View:
     fields: dict[str, Any] = orjson.loads(body)
     if not isinstance(fields, dict):
-        raise TypeError('no JSON object')
+        raise TypeError('expected a JSON object')
     return View(
         generation=int(fields['generation']),
         rules_by_service=decode_parts(fields['rules']),
--- a/tests/client/fakes.py
+++ b/tests/client/fakes.py
@@ -1,4 +1,4 @@
-"""A small fake node: an ASGI application that answers as a test says."""
+"""A fake node: an ASGI application that answers as a test specifies."""
 
 import asyncio
 import socket
@@ -31,22 +31,21 @@
 _MAX_BYTES = 10_000
 
 
-class Arrival:
-    """A call that reached a fake node, and its two ways to answer."""
+class ReceivedCall:
+    """A call that a fake node received."""
 
     def __init__(self, node, context: CallContext, send):
-        """Take the node's name and the call's context."""
         self.node = node
         self.context = context
         self._send = send
 
-    async def answer(self, body=b'whole', **said):
-        """Answer the call; ``said`` overrides its control part."""
+    async def answer(self, body=b'whole', **info):
+        """Answer the call; ``info`` overrides fields of its control part."""
         fields = {
             'call_id': self.context.call_id,
             'outcome': Outcome.ANSWERED,
             'body_length': len(body),
-            **said,
+            **info,
         }
         header = encode_answer(AnswerInfo(**fields)).encode()
         await respond(
@@ -56,8 +55,8 @@
             body=body,
         )
 
-    async def refuse(self, outcome: Outcome, reason: RefusalReason, **said):
-        """Refuse the call."""
+    async def refuse(self, outcome: Outcome, reason: RefusalReason, **info):
+        """Answer with a refusal that returns all retries of the call."""
         await self.answer(
             b'',
             outcome=outcome,
@@ -65,84 +64,86 @@
             **{
                 'retry_after_ms': 700,
                 'unspent': self.context.retries_left,
-                **said,
+                **info,
             },
         )
 
 
 class FakeNodes:
-    """The nodes of one service; one function says what they do."""
+    """The nodes of one service, which all run ``serve`` for each call.
+
+    By default a call hangs until ``release``. ``disconnected`` is set when a
+    caller disconnects.
+    """
 
     def __init__(
-        self, serve: Callable[[Arrival], Awaitable[None]] | None = None
+        self, serve: Callable[[ReceivedCall], Awaitable[None]] | None = None
     ):
-        """Take what is done about each call; by default it hangs."""
         self._serve = serve or self.hang
-        self.arrivals: list[Arrival] = []
+        self.received_calls: list[ReceivedCall] = []
         self.members: list[RouteMember] = []
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
         self._released = asyncio.Event()
 
     async def __call__(self, scope, receive, send):
-        """Serve one call at the node of the port that it came to."""
+        """Serve one call as the node that listens on its port."""
         inbound = (await read_inbound(scope, receive, _MAX_BYTES)).ok
         context = decode_context(inbound.headers[CONTEXT_HEADER])
-        arrival = Arrival(f'n{scope["server"][1]}', context, send)
-        self.arrivals.append(arrival)
+        received = ReceivedCall(f'n{scope["server"][1]}', context, send)
+        self.received_calls.append(received)
         watcher = asyncio.create_task(self._watch(receive))
         try:
-            await self._serve(arrival)
+            await self._serve(received)
         finally:
             watcher.cancel()
 
-    async def hang(self, arrival):
-        """Give no answer until the test is over."""
+    async def hang(self, received):
+        """Send no answer until ``release`` is called."""
         await self._released.wait()
 
     def release(self):
-        """End the calls that hang."""
+        """End the hanging calls."""
         self._released.set()
 
     async def _watch(self, receive):
         message = await receive()
         if message['type'] == 'http.disconnect':
-            self.gone.set()
+            self.disconnected.set()
 
 
-class QuietServer(uvicorn.Server):
-    """A server that leaves signals alone and ends when it is told."""
+class SignalFreeServer(uvicorn.Server):
+    """A server that handles no signals and stops when ``stopping`` is set."""
 
     def __init__(self, config):
-        """Begin without an order to end."""
         super().__init__(config)
-        self.ending = asyncio.Event()
+        self.stopping = asyncio.Event()
 
     @contextmanager
     def capture_signals(self):
-        """Capture none."""
+        """Leave the signal handlers unchanged."""
         yield
 
     async def main_loop(self):
-        """Wait for the order."""
-        await self.ending.wait()
+        """Wait for ``stopping``."""
+        await self.stopping.wait()
 
 
 @asynccontextmanager
 async def served(app, count=1):
-    """Serve an application on some ports of loopback; yield the ports."""
+    """Serve an application on ``count`` loopback ports; yield the ports."""
     config = uvicorn.Config(
         app,
         lifespan='off',
         log_config=None,
         timeout_graceful_shutdown=1,
     )
-    server = QuietServer(config)
-    sockets = [_listening() for _ in range(count)]
+    server = SignalFreeServer(config)
+    sockets = [_listening_socket() for _ in range(count)]
     serving = asyncio.create_task(server.serve(sockets))
     try:
-        yield [one.getsockname()[1] for one in sockets]
+        yield [listener.getsockname()[1] for listener in sockets]
     finally:
-        server.ending.set()
+        server.stopping.set()
         await serving
 
 
@@ -168,11 +169,11 @@
             await client.close()
 
 
-def _listening():
-    listening = socket.socket()
-    listening.bind(('127.0.0.1', 0))
-    listening.listen()
-    return listening
+def _listening_socket():
+    listener = socket.socket()
+    listener.bind(('127.0.0.1', 0))
+    listener.listen()
+    return listener
 
 
 def _member(port):
--- a/tests/client/test_asgi.py
+++ b/tests/client/test_asgi.py
@@ -1,10 +1,10 @@
-"""Requests as they are read at the ASGI border."""
+"""Reading of ASGI requests."""
 
 from lovageshunt.client import read_inbound
 
 
 async def read(headers, body=b''):
-    """Return what is read of a request with these headers."""
+    """Read a request with these headers."""
 
     async def receive():
         return {'type': 'http.request', 'body': body}
@@ -19,22 +19,22 @@
 
 
 class TestHeaders:
-    """Headers that come more than once."""
+    """Headers that occur more than once."""
 
     async def test_repeated_name(self):
-        """Headers of one name are joined as a list, none is lost."""
+        """Repeated headers are joined with a comma."""
         inbound = await read([(b'accept', b'a'), (b'accept', b'b')])
         assert inbound.headers == {'accept': 'a, b'}
 
     async def test_repeated_cookie(self):
-        """Cookies are joined as cookies are."""
+        """Repeated cookies are joined with a semicolon."""
         inbound = await read([(b'cookie', b'a=1'), (b'cookie', b'b=2')])
         assert inbound.headers == {'cookie': 'a=1; b=2'}
 
 
 class TestTarget:
-    """The path that is sent on."""
+    """The target of a request that is forwarded."""
 
     async def test_query(self):
-        """The query is sent on with the path."""
+        """The target includes the query."""
         assert (await read([])).target == '/?a=1'
--- a/tests/client/test_attempts.py
+++ b/tests/client/test_attempts.py
@@ -23,31 +23,31 @@
     return await scope.call('payments', 'POST', '/tokens', body=b'{}')
 
 
-def first_other(first, others):
-    """Return what treats the first arrival in one way, the rest in another."""
+def first_then(first, others):
+    """Return a handler that handles the first call unlike later ones."""
     count = 0
 
-    async def serve(arrival):
+    async def serve(received):
         nonlocal count
         count += 1
-        await (first if count == 1 else others)(arrival)
+        await (first if count == 1 else others)(received)
 
     return serve
 
 
-async def answer(arrival):
-    """Answer as a node should."""
-    await arrival.answer()
+async def answer(received):
+    """Answer with a valid control part."""
+    await received.answer()
 
 
-async def refuse_leaving(arrival):
-    """Refuse as a leaving node does."""
-    await arrival.refuse(_NOT_RUN, _LEAVING)
+async def refuse_leaving(received):
+    """Refuse as *not run*, as a leaving node does."""
+    await received.refuse(_NOT_RUN, _LEAVING)
 
 
-async def doubt(arrival):
-    """Say that the purchase may have run."""
-    await arrival.refuse(
+async def answer_unknown(received):
+    """Answer that the purchase may have run."""
+    await received.refuse(
         Outcome.UNKNOWN,
         RefusalReason.CONNECTION_LOST,
         retry_after_ms=1,
@@ -55,10 +55,10 @@
 
 
 class TestWholeAnswer:
-    """What makes an answer the call's own and whole."""
+    """Which answers are accepted for a call."""
 
     async def test_is_returned(self):
-        """A whole answer of this call is returned with its body."""
+        """A complete answer to this call is returned with its body."""
         async with client_of(FakeNodes(answer)) as client:
             assert (await call(client)).ok.body == b'whole'
 
@@ -71,10 +71,10 @@
         ],
     )
     async def test_wrong_control_part(self, wrong):
-        """An answer of another call or length is unknown, not an answer."""
+        """An answer with another call id or length gives *unknown*."""
 
-        async def serve(arrival):
-            await arrival.answer(**wrong)
+        async def serve(received):
+            await received.answer(**wrong)
 
         nodes = FakeNodes(serve)
         async with client_of(nodes, is_repeatable=False) as client:
@@ -87,31 +87,31 @@
     """Calls that may be repeated."""
 
     async def test_leaving_moves_on(self):
-        """A call that a leaving node refused goes to another member."""
-        nodes = FakeNodes(first_other(refuse_leaving, answer))
+        """A call that a leaving node refused is sent to another member."""
+        nodes = FakeNodes(first_then(refuse_leaving, answer))
         async with client_of(nodes) as client:
             assert (await call(client)).is_ok()
-        first, second = nodes.arrivals
+        first, second = nodes.received_calls
         assert first.node != second.node
 
     async def test_overload_is_not_retried(self):
-        """A refusal for overload travels up with when to come back."""
+        """A refusal for overload is returned with its retry-after."""
 
-        async def serve(arrival):
-            await arrival.refuse(_NOT_RUN, RefusalReason.OVERLOAD)
+        async def serve(received):
+            await received.refuse(_NOT_RUN, RefusalReason.OVERLOAD)
 
         nodes = FakeNodes(serve)
         async with client_of(nodes) as client:
             error = (await call(client)).error
         assert isinstance(error, CallNotRunError)
         assert error.retry_after_ms == 700
-        assert len(nodes.arrivals) == 1
+        assert len(nodes.received_calls) == 1
 
     async def test_threshold_refuses_unsent(self):
-        """A level that answers said to be refused is refused unsent."""
+        """A call is refused locally if its level is above the threshold."""
 
-        async def serve(arrival):
-            await arrival.answer(threshold_by_service={'payments': 0})
+        async def serve(received):
+            await received.answer(threshold_by_service={'payments': 0})
 
         nodes = FakeNodes(serve)
         async with client_of(nodes, importance=7) as client:
@@ -119,13 +119,13 @@
         refused = [reply.error for reply in replies if reply.is_error()]
         assert {error.reason for error in refused} == {RefusalReason.OVERLOAD}
         assert {type(error) for error in refused} == {CallNotRunError}
-        assert len(nodes.arrivals) == len(replies) - len(refused)
+        assert len(nodes.received_calls) == len(replies) - len(refused)
 
     async def test_retry_bound(self):
-        """No more arrive than one and the retries of the bound."""
+        """At most one attempt and the allowed retries are sent."""
 
-        async def serve(arrival):
-            await arrival.refuse(
+        async def serve(received):
+            await received.refuse(
                 Outcome.FAILED,
                 RefusalReason.TARGET_FAILED,
                 retry_after_ms=1,
@@ -135,85 +135,88 @@
         async with client_of(nodes, retry_bound=2) as client:
             error = (await call(client)).error
         assert isinstance(error, CallFailedError)
-        assert len(nodes.arrivals) <= 3
+        assert len(nodes.received_calls) <= 3
 
     async def test_one_ran_is_not_not_run(self):
-        """A later *not run* does not hide that an earlier attempt ran."""
+        """A later *not run* does not mask an earlier attempt that ran."""
 
-        async def fail(arrival):
-            await arrival.refuse(
+        async def fail(received):
+            await received.refuse(
                 Outcome.FAILED,
                 RefusalReason.TARGET_FAILED,
                 retry_after_ms=1,
             )
 
-        async def refuse(arrival):
-            await arrival.refuse(_NOT_RUN, RefusalReason.OVERLOAD)
+        async def refuse(received):
+            await received.refuse(_NOT_RUN, RefusalReason.OVERLOAD)
 
-        nodes = FakeNodes(first_other(fail, refuse))
+        nodes = FakeNodes(first_then(fail, refuse))
         async with client_of(nodes) as client:
             error = (await call(client)).error
-        assert len(nodes.arrivals) == 2
+        assert len(nodes.received_calls) == 2
         assert isinstance(error, CallFailedError)
 
 
 class TestPurchase:
-    """Calls that must not repeat."""
+    """Calls that must not be repeated."""
 
-    async def test_stamp_stays_in_doubt(self):
-        """In doubt the next attempt goes to the same home, with its stamp."""
-        nodes = FakeNodes(first_other(doubt, answer))
+    async def test_unknown_keeps_the_home(self):
+        """After *unknown* the next attempt goes to the same home."""
+        nodes = FakeNodes(first_then(answer_unknown, answer))
         async with client_of(nodes, is_repeatable=False, count=3) as client:
             assert (await call(client)).is_ok()
-        first, second = nodes.arrivals
-        stamp = HomeStamp(
+        first, second = nodes.received_calls
+        home = HomeStamp(
             node=first.node,
             incarnation=f'life-of-{first.node}',
         )
-        assert first.context.home == stamp
-        assert second.context.home == stamp
+        assert first.context.home == home
+        assert second.context.home == home
         assert second.node == first.node
 
     async def test_cut_answer_stays_at_home(self):
-        """A cut answer proves nothing, so no other member is asked."""
+        """After an invalid answer no other member is called.
 
-        async def cut(arrival):
-            await arrival.answer(b'short', call_id='cut')
+        Such an answer does not prove that the call did not run.
+        """
 
-        nodes = FakeNodes(first_other(cut, answer))
+        async def cut(received):
+            await received.answer(b'short', call_id='cut')
+
+        nodes = FakeNodes(first_then(cut, answer))
         async with client_of(nodes, is_repeatable=False, count=3) as client:
             await call(client)
-        assert len({arrival.node for arrival in nodes.arrivals}) == 1
+        assert len({received.node for received in nodes.received_calls}) == 1
 
     async def test_home_of_the_answer_is_kept(self):
-        """The home that an answer names gets the next attempt."""
+        """The next attempt goes to the home that an answer names."""
 
-        async def doubt_of_other(arrival):
+        async def name_other_home(received):
             names = {member.node for member in nodes.members}
-            home = (names - {arrival.node}).pop()
-            await arrival.refuse(
+            home = (names - {received.node}).pop()
+            await received.refuse(
                 Outcome.UNKNOWN,
                 RefusalReason.CONNECTION_LOST,
                 retry_after_ms=1,
                 home=HomeStamp(node=home, incarnation='named'),
             )
 
-        nodes = FakeNodes(first_other(doubt_of_other, answer))
+        nodes = FakeNodes(first_then(name_other_home, answer))
         async with client_of(
             nodes,
             is_repeatable=False,
             retry_bound=9,
         ) as client:
             await call(client, attempt=2)
-        first, second = nodes.arrivals
+        first, second = nodes.received_calls
         assert second.node != first.node
         assert second.context.home.incarnation == 'named'
 
     @pytest.mark.parametrize('attempt', [1, 2])
-    @pytest.mark.parametrize('first', [doubt, refuse_leaving])
+    @pytest.mark.parametrize('first', [answer_unknown, refuse_leaving])
     async def test_numbering(self, attempt, first):
-        """Attempts are numbered as the run-once table expects."""
-        nodes = FakeNodes(first_other(first, answer))
+        """Attempt numbers are those that the run-once table expects."""
+        nodes = FakeNodes(first_then(first, answer))
         async with client_of(
             nodes,
             is_repeatable=False,
@@ -221,34 +224,36 @@
         ) as client:
             await call(client, attempt=attempt)
         is_proved = first is refuse_leaving
-        assert [one.context.attempt for one in nodes.arrivals] == [
+        assert [
+            received.context.attempt for received in nodes.received_calls
+        ] == [
             next_attempt_number(attempt, is_proved_not_run=True),
             next_attempt_number(attempt, is_proved_not_run=is_proved),
         ]
 
     async def test_proved_not_run_moves_on(self):
-        """A purchase that its home proves not run may be stamped anew."""
-        nodes = FakeNodes(first_other(refuse_leaving, answer))
+        """A purchase proved *not run* by its home may get a new home."""
+        nodes = FakeNodes(first_then(refuse_leaving, answer))
         async with client_of(nodes, is_repeatable=False) as client:
             assert (await call(client)).is_ok()
-        first, second = nodes.arrivals
+        first, second = nodes.received_calls
         assert second.node != first.node
         assert second.context.home.node == second.node
 
-    async def test_resend_is_not_stamped(self):
-        """A resend carries no stamp, because it may have a home already."""
+    async def test_repeated_request_names_no_home(self):
+        """A repeated request names no home, since it may have one already."""
         nodes = FakeNodes(answer)
         async with client_of(nodes, is_repeatable=False) as client:
             await call(client, attempt=2, age_ms=50)
-        assert nodes.arrivals[0].context.home is None
-        assert nodes.arrivals[0].context.age_ms >= 50
+        assert nodes.received_calls[0].context.home is None
+        assert nodes.received_calls[0].context.age_ms >= 50
 
 
 class TestTime:
-    """Deadlines and callers that go away."""
+    """Deadlines and cancellation."""
 
     async def test_late_is_unknown(self):
-        """A purchase without an answer in time is unknown, and cancelled."""
+        """A purchase not answered in time is *unknown* and cancelled."""
         nodes = FakeNodes()
         async with client_of(
             nodes,
@@ -256,23 +261,23 @@
             timeout_ms=1,
         ) as client:
             error = (await call(client)).error
-            await asyncio.wait_for(nodes.gone.wait(), 5)
+            await asyncio.wait_for(nodes.disconnected.wait(), 5)
         assert isinstance(error, CallUnknownError)
 
     async def test_no_time_is_not_sent(self):
-        """A request whose time is over sends nothing."""
+        """A request whose deadline has passed sends nothing."""
         nodes = FakeNodes(answer)
         async with client_of(nodes) as client:
             error = (await call(client, timeout_ms=0)).error
         assert isinstance(error, CallNotRunError)
-        assert not nodes.arrivals
+        assert not nodes.received_calls
 
     async def test_cancelled_below(self):
-        """The node notices when the caller of a call gives it up."""
+        """The node sees a disconnect when the caller cancels a call."""
         nodes = FakeNodes()
         async with client_of(nodes) as client:
             calling = asyncio.create_task(call(client))
-            while not nodes.arrivals:
+            while not nodes.received_calls:
                 await asyncio.sleep(0.01)
             calling.cancel()
-            await asyncio.wait_for(nodes.gone.wait(), 5)
+            await asyncio.wait_for(nodes.disconnected.wait(), 5)
--- a/tests/client/test_inbound.py
+++ b/tests/client/test_inbound.py
@@ -1,4 +1,4 @@
-"""The wrapper around a target's application, as a server calls it."""
+"""``InboundCalls``, called as an ASGI server would call it."""
 
 import asyncio
 
@@ -22,10 +22,13 @@
 
 
 class Caller:
-    """Makes one request of an application, and may go away."""
+    """Sends one request to an application.
+
+    Setting ``disconnect`` makes it disconnect. ``fields`` override those of
+    its context.
+    """
 
     def __init__(self, body=b'', **fields):
-        """Take the body and what differs in the context."""
         context = {
             'request_id': 'r1',
             'call_id': _CALL_ID,
@@ -36,12 +39,12 @@
         }
         header = encode_context(CallContext(**context)).encode()
         self.headers = [(CONTEXT_HEADER.encode(), header)]
-        self.gone = asyncio.Event()
+        self.disconnect = asyncio.Event()
         self.sent = []
         self._body = [body]
 
     async def ask(self, app, client=None, max_body_bytes=100):
-        """Send the request through the wrapper."""
+        """Send the request through ``InboundCalls``."""
         scope = {
             'type': 'http',
             'method': 'GET',
@@ -54,19 +57,18 @@
 
     @property
     def status(self):
-        """Return the status of the answer."""
         return self.sent[0]['status']
 
     @property
-    def said(self):
-        """Return the control part of the answer."""
+    def info(self):
+        """The control part of the answer."""
         headers = dict(self.sent[0]['headers'])
         return decode_answer(headers[ANSWER_HEADER.encode()], _CALL_ID)
 
     async def _receive(self):
         if self._body:
             return {'type': 'http.request', 'body': self._body.pop()}
-        await self.gone.wait()
+        await self.disconnect.wait()
         return {'type': 'http.disconnect'}
 
     async def _send(self, message):
@@ -74,16 +76,14 @@
 
 
 class Hanging:
-    """An application that never answers, and notices its cancellation."""
+    """An application that never answers and records its cancellation."""
 
     def __init__(self):
-        """Begin before any request."""
-        self.begun = asyncio.Event()
+        self.started = asyncio.Event()
         self.was_cancelled = False
 
     async def __call__(self, scope, receive, send):
-        """Hang until cancelled."""
-        self.begun.set()
+        self.started.set()
         try:
             await asyncio.Event().wait()
         except asyncio.CancelledError:
@@ -92,61 +92,61 @@
 
 
 def idle_client():
-    """Return a client that calls nobody."""
+    """Return a client without seeds or services."""
     return Client(
         ClientOptions(name='t', failure_domain='a', seeds=(), services=()),
     )
 
 
 class TestAnswer:
-    """The control part that the wrapper adds."""
+    """The control part that ``InboundCalls`` adds."""
 
     async def test_answered(self):
-        """An answer names its call and gives back the whole share."""
+        """An answer states its call and returns all unused retries."""
         caller = Caller(retries_left=3)
         await caller.ask(Response(b'whole'))
-        assert caller.said.outcome is Outcome.ANSWERED
-        assert caller.said.unspent == 3
+        assert caller.info.outcome is Outcome.ANSWERED
+        assert caller.info.unspent == 3
 
     async def test_failed(self):
-        """A status of failure is stated as the target's own."""
+        """Status 500 is reported as a failure of the target."""
         caller = Caller()
         await caller.ask(Response(status_code=500))
-        assert caller.said.outcome is Outcome.FAILED
-        assert caller.said.reason is RefusalReason.TARGET_FAILED
+        assert caller.info.outcome is Outcome.FAILED
+        assert caller.info.reason is RefusalReason.TARGET_FAILED
 
     async def test_failure_below_is_never_not_run(self):
-        """A target that ran states *failed* or *unknown* for its failure."""
+        """A target that ran reports *failed* or *unknown*."""
         for error, outcome in (
             (CallFailedError('r1', 'overload', 9), Outcome.FAILED),
             (CallUnknownError('r1', 'in_doubt', 9), Outcome.UNKNOWN),
         ):
             caller = Caller()
             await caller.ask(failing_with(error))
-            assert caller.said.outcome is outcome
-            assert caller.said.retry_after_ms == 9
+            assert caller.info.outcome is outcome
+            assert caller.info.retry_after_ms == 9
 
     async def test_no_context(self):
-        """A request without a context is served too."""
+        """A request without a context is served."""
         caller = Caller()
         caller.headers = []
         await caller.ask(Response(b'ok'))
         assert caller.status == 200
 
     async def test_too_large(self):
-        """A body above the bound is refused before the application runs."""
+        """A body above the limit is refused before the application runs."""
         caller = Caller(b'x' * 101)
         hanging = Hanging()
         await caller.ask(hanging)
         assert caller.status == 413
-        assert not hanging.begun.is_set()
+        assert not hanging.started.is_set()
 
 
 class TestReceive:
     """What the application receives."""
 
     async def test_body(self):
-        """The application receives the body that was read already."""
+        """The application receives the body that ``InboundCalls`` read."""
 
         async def echo(scope, receive, send):
             message = await receive()
@@ -157,7 +157,7 @@
         assert caller.sent[1]['body'] == b'question'
 
     async def test_nothing_after_the_body(self):
-        """An application that listens for its caller leaves the loop free."""
+        """Waiting for a disconnect does not block the event loop."""
 
         async def parts():
             yield b'one'
@@ -179,58 +179,58 @@
 
 
 class TestTime:
-    """Deadlines, and callers that go away."""
+    """Deadlines and callers that disconnect."""
 
     async def test_deadline(self):
-        """Work beyond the deadline is cancelled and its outcome unknown."""
+        """At the deadline work is cancelled and reported as *unknown*."""
         caller = Caller(timeout_ms=5)
         hanging = Hanging()
         await caller.ask(hanging)
         assert hanging.was_cancelled
-        assert caller.said.outcome is Outcome.UNKNOWN
-        assert caller.said.reason is RefusalReason.DEADLINE
+        assert caller.info.outcome is Outcome.UNKNOWN
+        assert caller.info.reason is RefusalReason.DEADLINE
 
-    async def test_caller_gone(self):
-        """Work for a caller that went away is cancelled and not answered."""
+    async def test_caller_disconnects(self):
+        """Work for a caller that disconnected is cancelled, not answered."""
         caller = Caller()
         hanging = Hanging()
         asking = asyncio.create_task(caller.ask(hanging))
-        await hanging.begun.wait()
-        caller.gone.set()
+        await hanging.started.wait()
+        caller.disconnect.set()
         await asking
         assert hanging.was_cancelled
         assert not caller.sent
 
     async def test_deadline_cancels_below(self):
-        """The node below notices that the deadline of the target passed."""
+        """A call below is cancelled when the target's deadline passes."""
         nodes = FakeNodes()
         caller = Caller(timeout_ms=100)
         async with client_of(nodes) as client:
             await caller.ask(calling_below, client)
-            await asyncio.wait_for(nodes.gone.wait(), 5)
+            await asyncio.wait_for(nodes.disconnected.wait(), 5)
 
-    async def test_caller_gone_cancels_below(self):
-        """The node below notices that the caller of the target went away."""
+    async def test_caller_disconnect_cancels_below(self):
+        """A call below is cancelled when the target's caller disconnects."""
         nodes = FakeNodes()
         caller = Caller(timeout_ms=60_000)
         async with client_of(nodes, timeout_ms=60_000) as client:
             asking = asyncio.create_task(caller.ask(calling_below, client))
-            while not nodes.arrivals:
+            while not nodes.received_calls:
                 await asyncio.sleep(0.01)
-            caller.gone.set()
-            await asyncio.wait_for(nodes.gone.wait(), 5)
+            caller.disconnect.set()
+            await asyncio.wait_for(nodes.disconnected.wait(), 5)
             await asking
 
 
 async def calling_below(scope, receive, send):
-    """Serve a request that needs one call below."""
+    """Serve a request by making one call."""
     reply = await scope_of(scope).call('payments', 'GET', '/')
     response = Response(reply.default_with(lambda _: Ok(b'none')))
     await response(scope, receive, send)
 
 
 def failing_with(error):
-    """Return an application whose call below brought this error."""
+    """Return an application whose call failed with this error."""
 
     async def fail(scope, receive, send):
         response = scope_of(scope).failure_response(error)
--- a/tests/client/test_scope.py
+++ b/tests/client/test_scope.py
@@ -9,7 +9,7 @@
 
 
 def inner(client, **fields):
-    """Return the scope of a call that arrived at a target."""
+    """Return the scope of a call that a target received."""
     context = {
         'request_id': 'r1',
         'call_id': 'r1.2',
@@ -23,51 +23,53 @@
 
 
 def calls(count):
-    """Return calls to be made at once."""
+    """Return calls with distinct paths."""
     return [Call(service='payments', path=f'/{at}') for at in range(count)]
 
 
 class TestInheritance:
-    """What calls have from the request that they are made for."""
+    """What calls inherit from their request."""
 
     async def test_level_and_id(self):
-        """A call below keeps request, importance and rank, and its own id."""
-        nodes = FakeNodes(lambda arrival: arrival.answer())
+        """A call inherits request id, importance and rank, not its call id."""
+        nodes = FakeNodes(lambda received: received.answer())
         async with client_of(nodes, importance=6) as client:
             scope = inner(client)
             await scope.call('payments', 'GET', '/')
             await scope.call('payments', 'GET', '/')
-        contexts = [arrival.context for arrival in nodes.arrivals]
+        contexts = [received.context for received in nodes.received_calls]
         assert [one.call_id for one in contexts] == ['r1.2.1', 'r1.2.2']
         assert {one.request_id for one in contexts} == {'r1'}
         assert {(one.importance, one.rank) for one in contexts} == {(2, 77)}
 
     async def test_time(self):
-        """A call below has no more time than its request."""
-        nodes = FakeNodes(lambda arrival: arrival.answer())
+        """A call has no longer timeout than its request."""
+        nodes = FakeNodes(lambda received: received.answer())
         async with client_of(nodes) as client:
             await inner(client, timeout_ms=900).call('payments', 'GET', '/')
-        assert 0 < nodes.arrivals[0].context.timeout_ms <= 900
+        assert 0 < nodes.received_calls[0].context.timeout_ms <= 900
 
 
 class TestCallAll:
-    """Calls that are made at once."""
+    """Concurrent calls."""
 
     @pytest.mark.parametrize('count', [1, 2, 3, 7])
     async def test_shares_within_allowance(self, count):
-        """The shares of calls at once never exceed the allowance."""
-        nodes = FakeNodes(lambda arrival: arrival.answer())
+        """The shares of concurrent calls add up to the allowance."""
+        nodes = FakeNodes(lambda received: received.answer())
         async with client_of(nodes) as client:
             replies = await inner(client).call_all(calls(count))
         assert all(reply.is_ok() for reply in replies)
-        shares = [arrival.context.retries_left for arrival in nodes.arrivals]
+        shares = [
+            received.context.retries_left for received in nodes.received_calls
+        ]
         assert sum(shares) == 5
 
     async def test_unspent_comes_back(self):
-        """What the answers prove unspent is given back, and no more."""
+        """Retries that answers report as unused are returned."""
 
-        async def serve(arrival):
-            await arrival.answer(unspent=arrival.context.retries_left)
+        async def serve(received):
+            await received.answer(unspent=received.context.retries_left)
 
         async with client_of(FakeNodes(serve)) as client:
             scope = inner(client)
@@ -75,10 +77,10 @@
             assert scope.unspent == 5
 
     async def test_lost_share_is_spent(self):
-        """A share whose answer is not this call's own is spent."""
+        """The share of a call without a valid answer is spent."""
 
-        async def serve(arrival):
-            await arrival.answer(call_id='another', unspent=9)
+        async def serve(received):
+            await received.answer(call_id='another', unspent=9)
 
         nodes = FakeNodes(serve)
         async with client_of(nodes, is_repeatable=False) as client:
@@ -87,10 +89,10 @@
             assert scope.unspent == 0
 
     async def test_each_gets_its_own(self):
-        """The replies stand in the order of the calls."""
+        """The replies are in the order of the calls."""
 
-        async def serve(arrival):
-            await arrival.answer(arrival.context.call_id.encode())
+        async def serve(received):
+            await received.answer(received.context.call_id.encode())
 
         async with client_of(FakeNodes(serve)) as client:
             replies = await inner(client).call_all(calls(20))
@@ -99,15 +101,15 @@
         ]
 
     async def test_none(self):
-        """No calls have no replies."""
+        """No calls give no replies."""
         async with client_of(FakeNodes(), count=0) as client:
             assert await inner(client).call_all([]) == []
 
     async def test_retries_within_allowance(self):
-        """Calls at once that all fail retry no more than the allowance."""
+        """Concurrent calls that all fail stay within the allowance."""
 
-        async def serve(arrival):
-            await arrival.refuse(
+        async def serve(received):
+            await received.refuse(
                 Outcome.FAILED,
                 RefusalReason.TARGET_FAILED,
                 retry_after_ms=1,
@@ -116,14 +118,14 @@
         nodes = FakeNodes(serve)
         async with client_of(nodes) as client:
             await inner(client).call_all(calls(4))
-        assert 4 <= len(nodes.arrivals) <= 4 + 5
+        assert 4 <= len(nodes.received_calls) <= 4 + 5
 
 
 class TestAttemptsBeyondTheBound:
-    """A request that its caller repeats more often than the rules allow."""
+    """Requests that are repeated more often than the rules allow."""
 
     async def test_lookup_is_not_claimed_as_not_run(self):
-        """An earlier attempt of it may have run, so it is failed."""
+        """It is *failed*, since an earlier attempt may have run."""
         async with client_of(FakeNodes(), retry_bound=3) as client:
             scope = client.request(request_id='r', attempt=9)
             reply = await scope.call('payments', 'GET', '/')
@@ -134,8 +136,8 @@
     async def test_purchase_may_still_learn_its_outcome(self):
         """It is sent without retries; the run-once table never reruns it."""
 
-        async def serve(arrival):
-            await arrival.answer()
+        async def serve(received):
+            await received.answer()
 
         nodes = FakeNodes(serve)
         async with client_of(
@@ -147,4 +149,4 @@
             reply = await scope.call('payments', 'POST', '/')
 
         assert reply.is_ok()
-        assert nodes.arrivals[0].context.retries_left == 0
+        assert nodes.received_calls[0].context.retries_left == 0
--- a/tests/client/test_signed_inbound.py
+++ b/tests/client/test_signed_inbound.py
@@ -1,4 +1,4 @@
-"""What the wrapper of a target believes of a context."""
+"""Which contexts ``InboundCalls`` trusts."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 async def served(own_key, header):
-    """Return the scope that an application finds for a header."""
+    """Return the scope that an application gets for a context header."""
     found = []
 
     async def app(scope, receive, send):
@@ -45,7 +45,7 @@
 
 
 def header_of(key):
-    """Return a context that claims the most, signed or not."""
+    """Return a context with the highest claims, signed if there is a key."""
     context = CallContext(
         request_id='r',
         call_id='r.1',
@@ -58,12 +58,12 @@
 
 
 @pytest.mark.asyncio
-class TestBelief:
-    """``InboundCalls``."""
+class TestTrust:
+    """Contexts that are trusted or not."""
 
     @pytest.mark.parametrize('sent_key', [None, OTHER])
     async def test_unknown_context(self, sent_key):
-        """A context that no holder of the key made brings no retries."""
+        """Retries and rank of a context with no valid signature are ignored."""
         calls = await served(KEY, header_of(sent_key))
 
         assert calls.call_id == 'r.1'
@@ -72,14 +72,14 @@
 
     @pytest.mark.parametrize('key', [None, KEY])
     async def test_known_context(self, key):
-        """A context of the fleet brings its share and its rank."""
+        """Retries and rank of a trusted context are used."""
         calls = await served(key, header_of(key))
 
         assert calls.unspent == 9
         assert calls.context.rank == 0
 
     async def test_no_context(self):
-        """A request without one is a root of its own."""
+        """Each request without a context is a root request."""
         first = await served(None, '')
         second = await served(None, '')
 
--- a/tests/client/test_transport.py
+++ b/tests/client/test_transport.py
@@ -1,4 +1,4 @@
-"""Exchanges over loopback connections: an answer is whole or lost."""
+"""Exchanges over loopback: a response is complete or the exchange fails."""
 
 import asyncio
 import socket
@@ -7,14 +7,14 @@
 import pytest
 
 from lovageshunt.client import ExchangeFailureKind, Transport
-from tests.client.wire import exchange_with, whole
+from tests.client.wire import complete_answer, exchange_with
 
 _LARGE = 1_000_000
 _BROKEN_ANSWERS = (
     pytest.param(b'', id='never begun'),
     pytest.param(b'HTTP/1.1 200 OK\r\ncontent-le', id='in the header'),
-    pytest.param(whole(b'12345')[:-5], id='after the header'),
-    pytest.param(whole(b'12345')[:-2], id='in the body'),
+    pytest.param(complete_answer(b'12345')[:-5], id='after the header'),
+    pytest.param(complete_answer(b'12345')[:-2], id='in the body'),
     pytest.param(
         b'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\n123',
         id='in a chunk',
@@ -26,52 +26,52 @@
 )
 
 
-async def answer_target(arrival):
-    """Answer with the target of the request."""
-    await arrival.answer(arrival.target.encode())
+async def answer_target(received):
+    """Answer with the request's target as the body."""
+    await received.answer(received.target.encode())
 
 
-def spoiling(first):
-    """Return a server that treats only its first request in this way."""
+def first_answered_by(first):
+    """Return a handler that answers all but the first request normally."""
     is_first = True
 
-    async def serve(arrival):
+    async def serve(received):
         nonlocal is_first
         was_first, is_first = is_first, False
-        await (first if was_first else answer_target)(arrival)
+        await (first if was_first else answer_target)(received)
 
     return serve
 
 
 def kind_of(exchange):
-    """Return how an exchange was lost."""
+    """Return the kind of failure of an exchange."""
     return exchange.error.kind
 
 
 class TestBrokenAnswer:
-    """Answers that do not arrive to their last byte."""
+    """Answers that do not arrive completely."""
 
     @pytest.mark.parametrize('octets', _BROKEN_ANSWERS)
     async def test_cut(self, octets):
-        """A cut answer is lost, and its connection is not used again."""
+        """A connection whose answer was truncated is not reused."""
 
-        async def cut(arrival):
-            await arrival.write(octets)
-            await arrival.close()
+        async def cut(received):
+            await received.write(octets)
+            await received.close()
 
-        async with exchange_with(spoiling(cut)) as (server, send):
+        async with exchange_with(first_answered_by(cut)) as (server, send):
             assert kind_of(await send()) is ExchangeFailureKind.CUT
             assert (await send('/next')).ok.body == b'/next'
             assert server.connections == [1, 2]
 
     async def test_late(self):
-        """A late answer is lost, and never given to the next request."""
+        """A late answer is never returned for the next request."""
 
-        async def late(arrival):
+        async def late(received):
             await asyncio.sleep(0.1)
-            await arrival.answer(b'late')
+            await received.answer(b'late')
 
-        async with exchange_with(spoiling(late)) as (server, send):
+        async with exchange_with(first_answered_by(late)) as (server, send):
             assert (
                 kind_of(await send(timeout_seconds=0.02))
                 is ExchangeFailureKind.LATE
@@ -81,34 +81,34 @@
 
     @pytest.mark.parametrize('is_stated', [True, False])
     async def test_too_large(self, is_stated):
-        """An answer beyond the bound is lost, and its connection closed."""
+        """A connection whose answer exceeds the limit is not reused."""
 
-        async def large(arrival):
+        async def large(received):
             if is_stated:
-                await arrival.answer(b'x' * _LARGE)
+                await received.answer(b'x' * _LARGE)
                 return
-            await arrival.write(
+            await received.write(
                 b'HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n',
             )
-            await arrival.write(b'f4240\r\n%b\r\n' % (b'x' * _LARGE))
+            await received.write(b'f4240\r\n%b\r\n' % (b'x' * _LARGE))
 
-        async with exchange_with(spoiling(large)) as (server, send):
+        async with exchange_with(first_answered_by(large)) as (server, send):
             assert kind_of(await send()) is ExchangeFailureKind.TOO_LARGE
             assert (await send('/next')).ok.body == b'/next'
             assert server.connections == [1, 2]
 
     async def test_cancelled(self):
-        """The connection of a cancelled request is not used again."""
-        begun = asyncio.Event()
+        """The connection of a cancelled request is not reused."""
+        started = asyncio.Event()
 
-        async def slow(arrival):
-            begun.set()
+        async def slow(received):
+            started.set()
             await asyncio.sleep(0.05)
-            await arrival.answer(b'of the cancelled')
+            await received.answer(b'of the cancelled')
 
-        async with exchange_with(spoiling(slow)) as (server, send):
+        async with exchange_with(first_answered_by(slow)) as (server, send):
             request = asyncio.create_task(send())
-            await begun.wait()
+            await started.wait()
             request.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await request
@@ -116,12 +116,14 @@
             assert server.connections == [1, 2]
 
     async def test_surplus(self):
-        """Bytes after an answer never become the next request's answer."""
+        """Surplus bytes after an answer are not read as the next answer."""
 
-        async def surplus(arrival):
-            await arrival.write(whole(b'first') + whole(b'second'))
+        async def surplus(received):
+            await received.write(
+                complete_answer(b'first') + complete_answer(b'second')
+            )
 
-        async with exchange_with(spoiling(surplus)) as (server, send):
+        async with exchange_with(first_answered_by(surplus)) as (server, send):
             assert (await send()).ok.body == b'first'
             await asyncio.sleep(0.02)
             assert (await send('/next')).ok.body == b'/next'
@@ -129,23 +131,23 @@
 
 
 class TestKeptConnection:
-    """Connections that were used before."""
+    """Reuse of kept-alive connections."""
 
     async def test_is_used_again(self):
-        """A connection whose answer was whole serves the next request."""
+        """A connection is reused after a complete answer."""
         async with exchange_with(answer_target) as (server, send):
             await send()
             await send()
             assert server.connections == [1, 1]
 
     async def test_closed_unanswered(self):
-        """A request that meets a closing connection is not sent again."""
+        """A request on a connection that the server closes is not resent."""
 
-        async def serve(arrival):
-            if arrival.target == '/first':
-                await arrival.answer(b'')
+        async def serve(received):
+            if received.target == '/first':
+                await received.answer(b'')
             else:
-                await arrival.close()
+                await received.close()
 
         async with exchange_with(serve) as (server, send):
             await send('/first')
@@ -154,10 +156,10 @@
 
 
 class TestNoConnection:
-    """Requests of which no byte was written."""
+    """Requests that fail before any byte is written."""
 
     async def test_refused(self):
-        """A refused connection proves that nothing was sent or listens."""
+        """A refused connection proves that nothing listens or was sent."""
         with socket.socket() as unused:
             unused.bind(('127.0.0.1', 0))
             exchange = await send_to(unused.getsockname()[1])
@@ -165,7 +167,7 @@
         assert exchange.error.is_unsent
 
     async def test_never_made(self):
-        """One that is not made in time proves only that nothing was sent."""
+        """A connect timeout proves only that nothing was sent."""
         with socket.socket() as full, socket.socket() as other:
             full.bind(('127.0.0.1', 0))
             full.listen(0)
@@ -189,32 +191,32 @@
 
 
 class TestHeaders:
-    """What the transport adds to a request."""
+    """The headers of a request."""
 
     async def test_no_coding_is_asked_for(self):
-        """The caller alone says which codings of an answer it reads."""
+        """The transport adds no ``accept-encoding``; that is the caller's."""
         async with exchange_with(answer_target) as (server, send):
             await send()
-            assert 'accept-encoding' not in server.arrivals[0].head.lower()
+            assert 'accept-encoding' not in server.requests[0].head.lower()
 
     async def test_own_headers_arrive(self):
-        """The headers of the call arrive as they are."""
+        """The headers of the call are sent unchanged."""
         async with exchange_with(answer_target) as (server, send):
             await send(headers={'accept-encoding': 'br'})
-            assert 'accept-encoding: br' in server.arrivals[0].head.lower()
+            assert 'accept-encoding: br' in server.requests[0].head.lower()
 
 
 class TestManyAtOnce:
-    """Requests that run at once and are answered in any order."""
+    """Concurrent requests that are answered in any order."""
 
     @pytest.mark.parametrize('seed', range(3))
     async def test_none_is_crossed(self, seed):
-        """Each gets its own answer, also when others are given up."""
+        """Each gets its own answer, even if others time out."""
         rng = Random(seed)
 
-        async def serve(arrival):
+        async def serve(received):
             await asyncio.sleep(rng.uniform(0, 0.02))
-            await answer_target(arrival)
+            await answer_target(received)
 
         async with exchange_with(serve) as (_, send):
             targets = [f'/{number}' for number in range(300)]
@@ -235,7 +237,7 @@
 
 
 async def send_to(port):
-    """Send one request to a port of loopback."""
+    """Send one request to a loopback port."""
     transport = Transport(max_body_bytes=10)
     await transport.start()
     try:
--- a/tests/client/wire.py
+++ b/tests/client/wire.py
@@ -1,4 +1,4 @@
-"""A server of raw bytes on loopback, which answers as a test says."""
+"""A loopback server that answers with the raw bytes a test specifies."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,24 +10,27 @@
 _BACKLOG = 1000
 
 
-class Arrival:
-    """A request that came: on which connection, for what, and its writer."""
+class ReceivedRequest:
+    """A request that the server received.
+
+    ``connection`` is the number of its connection, counted from 1; ``head``
+    is its request line and headers.
+    """
 
     def __init__(self, connection, head, writer):
-        """Take the head of the request."""
         self.connection = connection
         self.head = head
         self.target = head.split(' ')[1]
         self._writer = writer
 
     async def write(self, octets):
-        """Send bytes and wait until they left."""
+        """Send bytes and wait until the buffer has drained."""
         self._writer.write(octets)
         await self._writer.drain()
 
     async def answer(self, body):
-        """Send a whole answer."""
-        await self.write(whole(body))
+        """Send a complete answer with status 200."""
+        await self.write(complete_answer(body))
 
     async def close(self):
         """Close the connection."""
@@ -35,37 +38,36 @@
 
 
 class WireServer:
-    """Serves connections one request after the other."""
+    """Runs ``serve`` for each request, in sequence on each connection."""
 
-    def __init__(self, serve: Callable[[Arrival], Awaitable[None]]):
-        """Take what is done about each request."""
+    def __init__(self, serve: Callable[[ReceivedRequest], Awaitable[None]]):
         self._serve = serve
         self._connections = 0
         self.address = ''
-        self.arrivals: list[Arrival] = []
+        self.requests: list[ReceivedRequest] = []
 
     @property
     def connections(self):
-        """Return the number of the connection of each request, in order."""
-        return [arrival.connection for arrival in self.arrivals]
+        """The connection number of each request, in order of arrival."""
+        return [request.connection for request in self.requests]
 
     async def connected(self, reader, writer):
-        """Read requests until the other side closes."""
+        """Read requests until the peer closes the connection."""
         self._connections += 1
         number = self._connections
         try:
             while True:
                 head = (await reader.readuntil(_END)).decode()
-                arrival = Arrival(number, head, writer)
-                self.arrivals.append(arrival)
-                await self._serve(arrival)
+                request = ReceivedRequest(number, head, writer)
+                self.requests.append(request)
+                await self._serve(request)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
 
 @asynccontextmanager
 async def exchange_with(serve, *, max_body_bytes=1000):
-    """Yield the server and a function that sends to it one request."""
+    """Yield the server and a function that sends it one request."""
     server = WireServer(serve)
     listener = await asyncio.start_server(
         server.connected,
@@ -95,7 +97,7 @@
         listener.close()
 
 
-def whole(body):
-    """Return a whole answer as bytes."""
+def complete_answer(body):
+    """Return an answer with its headers, as bytes."""
     head = f'HTTP/1.1 200 OK\r\ncontent-length: {len(body)}\r\n\r\n'
     return head.encode() + body
