--- a/src/lovageshunt/client/__init__.py
+++ b/src/lovageshunt/client/__init__.py
@@ -1,15 +1,15 @@
-"""The library that callers and targets embed."""
+"""The client library that callers, targets and nodes embed."""
 
 from lovageshunt.client._asgi import (
     AsgiApp,
     AsgiScope,
-    Inbound,
-    ReadFault,
+    InboundRequest,
+    ReadFailure,
     Receive,
     Send,
     read_inbound,
     respond,
-    until_disconnect,
+    run_until_disconnect,
 )
 from lovageshunt.client._client import Client
 from lovageshunt.client._engine import Engine
@@ -18,10 +18,10 @@
 from lovageshunt.client._options import ClientOptions
 from lovageshunt.client._scope import CallScope
 from lovageshunt.client._transport import (
-    ExchangeLost,
-    LossKind,
+    ExchangeFailure,
+    ExchangeFailureKind,
     Transport,
-    WholeAnswer,
+    TransportResponse,
 )
 from lovageshunt.client._view import (
     ACCOUNT_PATH,
@@ -41,20 +41,20 @@
     'Client',
     'ClientOptions',
     'Engine',
-    'ExchangeLost',
-    'Inbound',
+    'ExchangeFailure',
+    'InboundRequest',
     'InboundCalls',
-    'LossKind',
-    'ReadFault',
+    'ExchangeFailureKind',
+    'ReadFailure',
     'Receive',
     'Send',
     'Transport',
     'View',
-    'WholeAnswer',
+    'TransportResponse',
     'call_error',
     'encode_view',
     'read_inbound',
     'respond',
     'scope_of',
-    'until_disconnect',
+    'run_until_disconnect',
 ]
--- a/src/lovageshunt/node/control/_inquiries.py
+++ b/src/lovageshunt/node/control/_inquiries.py
@@ -21,7 +21,7 @@
     decode_answer,
     encode_context,
 )
-from lovageshunt.client import Inbound, Transport, WholeAnswer
+from lovageshunt.client import InboundRequest, Transport, TransportResponse
 from lovageshunt.errors import MalformedAnswerError, MalformedEnvelopeError
 from lovageshunt.idempotency import (
     AnswerInquiry,
@@ -153,7 +153,7 @@
 
     async def redirect(
         self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         parsed: ParsedCall,
         action: Redirect,
         *,
@@ -204,7 +204,7 @@
     )
 
 
-def _ending_of(response: WholeAnswer, call_id: str) -> Ending:
+def _ending_of(response: TransportResponse, call_id: str) -> Ending:
     try:
         info = decode_answer(response.headers.get(ANSWER_HEADER, ''), call_id)
     except MalformedAnswerError:
--- a/src/lovageshunt/node/control/_peer_link.py
+++ b/src/lovageshunt/node/control/_peer_link.py
@@ -5,7 +5,7 @@
 import orjson
 from expression import Result
 
-from lovageshunt.client import ExchangeLost, Transport, WholeAnswer
+from lovageshunt.client import ExchangeFailure, Transport, TransportResponse
 from lovageshunt.node.control._envelope import Envelope, encode_envelope
 
 EXCHANGE_PATH: Final = '/v1/exchange'
@@ -37,7 +37,7 @@
         path: str,
         body: bytes,
         timeout_seconds: float = _TIMEOUT_SECONDS,
-    ) -> Result[WholeAnswer, ExchangeLost]:
+    ) -> Result[TransportResponse, ExchangeFailure]:
         """Post JSON to a peer's admin address (IP:PORT)."""
         self.sent_bytes += len(body) + _HEADER_BYTES
         return await self._transport.send(
@@ -53,7 +53,7 @@
         self,
         address: str,
         envelope: Envelope,
-    ) -> Result[str, ExchangeLost]:
+    ) -> Result[str, ExchangeFailure]:
         """Send an envelope; return the incarnation that accepted it.
 
         The incarnation is empty when the peer refused the envelope.
@@ -66,7 +66,7 @@
         return posted.map(_incarnation_in)
 
 
-def _incarnation_in(answer: WholeAnswer) -> str:
+def _incarnation_in(answer: TransportResponse) -> str:
     if answer.status != _HTTP_OK:
         return ''
     fields = orjson.loads(answer.body)
--- a/src/lovageshunt/node/control/_platform_loop.py
+++ b/src/lovageshunt/node/control/_platform_loop.py
@@ -15,14 +15,14 @@
     PUBLISHED_RULES,
     PUBLISHED_VMS,
     PlatformReader,
-    Published,
+    PublishedValue,
 )
 
 #: Longest time that one watch waits for a change.
 _WATCH_SECONDS: Final = 30.0
 _log = getLogger(__name__)
 
-_Reading = Result[Published, PlatformUnavailableError]
+_Reading = Result[PublishedValue, PlatformUnavailableError]
 
 
 class PlatformLoop:
@@ -94,7 +94,7 @@
     def _report(self, readings: dict[str, _Reading]) -> None:
         for name, reading in readings.items():
             self._log_change(name, reading)
-            if reading.is_ok() and reading.ok.is_news:
+            if reading.is_ok() and reading.ok.is_changed:
                 self._accept(name, reading.ok)
         has_answer = any(reading.is_ok() for reading in readings.values())
         if has_answer and self._last_list is not None:
@@ -112,7 +112,7 @@
             self._failing.discard(name)
             _log.info('reads of %s from the platform succeed again', name)
 
-    def _accept(self, name: str, published: Published) -> None:
+    def _accept(self, name: str, published: PublishedValue) -> None:
         self._revision_by_name[name] = published.revision
         if name == PUBLISHED_VMS:
             vm_list = vm_list_of(published)
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -22,13 +22,13 @@
     Answer,
     AsgiScope,
     Engine,
-    Inbound,
+    InboundRequest,
     Receive,
     Send,
     call_error,
     read_inbound,
     respond,
-    until_disconnect,
+    run_until_disconnect,
 )
 from lovageshunt.clock import now
 from lovageshunt.errors import (
@@ -114,7 +114,7 @@
             return
         reading = await read_inbound(scope, receive, self._max_body_bytes)
         if reading.is_error():
-            if not reading.error.is_gone:
+            if not reading.error.is_disconnected:
                 await _refuse(send, self._too_large())
             return
         inbound = reading.ok
@@ -124,11 +124,11 @@
             return
         self._refresh()
         pending_reply = self._call(found.ok, inbound)
-        reply = await until_disconnect(receive, pending_reply)
+        reply = await run_until_disconnect(receive, pending_reply)
         if reply is not None:
             await _answer(send, found.ok, reply)
 
-    def _find(self, inbound: Inbound) -> Result[ServedCall, _Refusal]:
+    def _find(self, inbound: InboundRequest) -> Result[ServedCall, _Refusal]:
         header = inbound.headers.get(CONTEXT_HEADER)
         if header is None:
             return Error(
@@ -174,7 +174,9 @@
                 encode_snapshot(self._engine.account.snapshot(time())),
             )
 
-    async def _call(self, served: ServedCall, inbound: Inbound) -> _Reply:
+    async def _call(
+        self, served: ServedCall, inbound: InboundRequest
+    ) -> _Reply:
         service, path = _split(inbound.target)
         served.has_called = True
         pending_call = served.scope.call(
--- a/src/lovageshunt/node/egress/_served_calls.py
+++ b/src/lovageshunt/node/egress/_served_calls.py
@@ -14,7 +14,7 @@
     RefusalReason,
     decode_context,
 )
-from lovageshunt.client import CallScope, Engine, Inbound, Transport
+from lovageshunt.client import CallScope, Engine, InboundRequest, Transport
 from lovageshunt.clock import now
 from lovageshunt.node.serving._target import TargetLink, TargetReply
 
@@ -86,7 +86,7 @@
             unspent=served.scope.unspent,
             threshold_by_service=self._engine.thresholds.advertised(
                 now(),
-                served.scope.asked,
+                served.scope.called_services,
             ),
         )
         if reply.reason is None and outcome is not Outcome.ANSWERED:
@@ -117,7 +117,7 @@
 
     async def dispatch(
         self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         *,
         call_id: str,
         headers: Mapping[str, str],
--- a/src/lovageshunt/node/serving/_call.py
+++ b/src/lovageshunt/node/serving/_call.py
@@ -2,7 +2,7 @@
 
 from asyncio import Future, Task, get_running_loop
 
-from lovageshunt.client import Inbound
+from lovageshunt.client import InboundRequest
 from lovageshunt.node.gate._messages import Reply
 from lovageshunt.node.serving._http_boundary import ParsedCall
 from lovageshunt.node.serving._target import TargetReply
@@ -36,7 +36,7 @@
         self,
         *,
         ticket: str,
-        inbound: Inbound,
+        inbound: InboundRequest,
         parsed: ParsedCall,
         span: ActiveSpan,
         arrived_at: float,
--- a/src/lovageshunt/node/serving/_calls.py
+++ b/src/lovageshunt/node/serving/_calls.py
@@ -9,7 +9,7 @@
 
 from lovageshunt._record import Record
 from lovageshunt.calls import ContextKey, RefusalReason
-from lovageshunt.client import Inbound
+from lovageshunt.client import InboundRequest
 from lovageshunt.clock import now
 from lovageshunt.idempotency import (
     AnswerInquiry,
@@ -77,7 +77,7 @@
 
     def track(
         self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         parsed: ParsedCall,
         span: ActiveSpan,
         *,
--- a/src/lovageshunt/node/serving/_http_boundary.py
+++ b/src/lovageshunt/node/serving/_http_boundary.py
@@ -19,7 +19,7 @@
     decode_and_verify_context,
     rank_of,
 )
-from lovageshunt.client import Inbound
+from lovageshunt.client import InboundRequest
 from lovageshunt.errors import MalformedContextError
 from lovageshunt.idempotency import Ending, StoredAnswer
 from lovageshunt.retries import allowance_for
@@ -86,7 +86,7 @@
 
 
 def parse_call(
-    inbound: Inbound,
+    inbound: InboundRequest,
     rule: KindRule,
     key: ContextKey | None = None,
 ) -> Result[ParsedCall, RefusalReason]:
@@ -106,7 +106,7 @@
     return Ok(ParsedCall(context=context, rule=rule, is_external=False))
 
 
-def fingerprint_of(inbound: Inbound, parsed: ParsedCall) -> str:
+def fingerprint_of(inbound: InboundRequest, parsed: ParsedCall) -> str:
     """Return a hash of the method, target and body of a request.
 
     For a call that must not be repeated the hash includes the call id,
@@ -226,7 +226,7 @@
 
 
 def _external_call(
-    inbound: Inbound,
+    inbound: InboundRequest,
     rule: KindRule,
 ) -> Result[ParsedCall, RefusalReason]:
     headers = inbound.headers
--- a/src/lovageshunt/node/serving/_ingress.py
+++ b/src/lovageshunt/node/serving/_ingress.py
@@ -20,13 +20,13 @@
     ACCOUNT_PATH,
     VIEW_PATH,
     AsgiScope,
-    Inbound,
+    InboundRequest,
     Receive,
     Send,
     encode_view,
     read_inbound,
     respond,
-    until_disconnect,
+    run_until_disconnect,
 )
 from lovageshunt.clock import now
 from lovageshunt.errors import MalformedSnapshotError
@@ -108,7 +108,7 @@
             await self._accept_account(result.ok, send)
         elif result.is_ok():
             await self._serve(scope, result.ok, receive, send)
-        elif not result.error.is_gone:
+        elif not result.error.is_disconnected:
             await self._reject(
                 self._rule_of(scope['method'], scope['path']),
                 send,
@@ -120,7 +120,7 @@
     async def _serve(
         self,
         scope: AsgiScope,
-        inbound: Inbound,
+        inbound: InboundRequest,
         receive: Receive,
         send: Send,
     ) -> None:
@@ -140,7 +140,7 @@
         call = self._track_call(inbound, parsed.ok)
         if call.reply is None:
             waiting = self._wait(call)
-            if await until_disconnect(receive, waiting) is None:
+            if await run_until_disconnect(receive, waiting) is None:
                 self._calls.abandon(call, RefusalReason.CANCELLED)
                 return
         await self._answer(call, _reply_of(call), send)
@@ -175,7 +175,7 @@
         )
 
     def _track_call(
-        self, inbound: Inbound, parsed: ParsedCall
+        self, inbound: InboundRequest, parsed: ParsedCall
     ) -> CallInProgress:
         self._check_for_pause()
         at = now()
@@ -271,7 +271,9 @@
         kind = call.parsed.context.kind
         return self._gate.threshold_by_service(kind, asked, now())
 
-    async def _accept_account(self, inbound: Inbound, send: Send) -> None:
+    async def _accept_account(
+        self, inbound: InboundRequest, send: Send
+    ) -> None:
         try:
             self._keep_account(inbound.body)
         except MalformedSnapshotError as error:
--- a/src/lovageshunt/node/serving/_target.py
+++ b/src/lovageshunt/node/serving/_target.py
@@ -15,11 +15,11 @@
     decode_answer,
 )
 from lovageshunt.client import (
-    ExchangeLost,
-    Inbound,
-    LossKind,
+    ExchangeFailure,
+    ExchangeFailureKind,
+    InboundRequest,
     Transport,
-    WholeAnswer,
+    TransportResponse,
 )
 from lovageshunt.errors import MalformedAnswerError
 
@@ -63,7 +63,7 @@
         *,
         outcome: Outcome,
         reason: RefusalReason | None = None,
-        response: WholeAnswer | None = None,
+        response: TransportResponse | None = None,
         info: AnswerInfo | None = None,
         was_disconnected: bool = False,
     ) -> None:
@@ -120,7 +120,7 @@
 
     async def dispatch(
         self,
-        inbound: Inbound,
+        inbound: InboundRequest,
         *,
         call_id: str,
         headers: Mapping[str, str],
@@ -161,7 +161,9 @@
         except (KeyError, TypeError, ValueError) as error:
             return Error(repr(error))
 
-    async def _ask(self, path: str) -> Result[WholeAnswer, ExchangeLost]:
+    async def _ask(
+        self, path: str
+    ) -> Result[TransportResponse, ExchangeFailure]:
         return await self._transport.send(
             address=self._address,
             method='GET',
@@ -192,7 +194,7 @@
     )
 
 
-def _reply_of_loss(lost: ExchangeLost, is_repeatable: bool) -> TargetReply:
+def _reply_of_loss(lost: ExchangeFailure, is_repeatable: bool) -> TargetReply:
     if lost.is_unsent:
         return TargetReply(
             outcome=Outcome.NOT_RUN,
@@ -201,16 +203,16 @@
     # A repeatable call has no side effects, so it counts as failed even if
     # it may still be running.
     outcome = Outcome.FAILED if is_repeatable else Outcome.UNKNOWN
-    if lost.kind is LossKind.LATE:
+    if lost.kind is ExchangeFailureKind.LATE:
         return TargetReply(outcome=outcome, reason=RefusalReason.DEADLINE)
     return TargetReply(
         outcome=outcome,
         reason=RefusalReason.CONNECTION_LOST,
-        was_disconnected=lost.kind is LossKind.CUT,
+        was_disconnected=lost.kind is ExchangeFailureKind.CUT,
     )
 
 
-def _reply_of_answer(response: WholeAnswer, call_id: str) -> TargetReply:
+def _reply_of_answer(response: TransportResponse, call_id: str) -> TargetReply:
     if NOT_RUN_HEADER in response.headers:
         return TargetReply(
             outcome=Outcome.NOT_RUN,
@@ -235,7 +237,7 @@
     )
 
 
-def _reply_of_status(response: WholeAnswer) -> TargetReply:
+def _reply_of_status(response: TransportResponse) -> TargetReply:
     if response.status < _FIRST_FAILURE_STATUS:
         return TargetReply(outcome=Outcome.ANSWERED, response=response)
     return TargetReply(
--- a/src/lovageshunt/published/__init__.py
+++ b/src/lovageshunt/published/__init__.py
@@ -1,15 +1,15 @@
-"""The reader of what the platform publishes."""
+"""Reads the values that the platform's configuration service publishes."""
 
 from lovageshunt.published._published import (
     PUBLISHED_RULES,
     PUBLISHED_VMS,
     PlatformReader,
-    Published,
+    PublishedValue,
 )
 
 __all__ = [
     'PUBLISHED_RULES',
     'PUBLISHED_VMS',
     'PlatformReader',
-    'Published',
+    'PublishedValue',
 ]
--- a/tests/node/serving/test_border.py
+++ b/tests/node/serving/test_border.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lovageshunt.calls import Outcome, RefusalReason
-from lovageshunt.client import Inbound
+from lovageshunt.client import InboundRequest
 from lovageshunt.idempotency import Ending
 from lovageshunt.node.serving._http_boundary import (
     fingerprint_of,
@@ -16,7 +16,7 @@
 
 def make_call(request_id, *, is_repeatable=True, attempt='1', caller=''):
     """Return a request of a caller without the library, and its call."""
-    inbound = Inbound(
+    inbound = InboundRequest(
         method='POST',
         path='/tokens',
         target='/tokens',
