--- a/bench/observability.py
+++ b/bench/observability.py
@@ -66,7 +66,7 @@
 
 
 def _span_step(flags: str) -> Step:
-    traces = Traces(node='n1', share=1, slow_seconds=1)
+    traces = Traces(node='n1', sampling_ratio=1, slow_seconds=1)
     return partial(_span, traces, f'{_PARENT}{flags}')
 
 
@@ -114,7 +114,7 @@
 
 def _per_call_rows() -> list[tuple[str, float]]:
     metrics = Metrics('n1')
-    cell = metrics.cell('lovageshunt_pauses_total')
+    series = metrics.series('lovageshunt_pauses_total')
     buckets = metrics.buckets('lovageshunt_queue_seconds', 'balances')
     library = Counter('trial_total', 'trial', registry=Registry())
     labels = {'service': 'balances', 'kind': 'view_balance'}
@@ -125,7 +125,7 @@
         ),
         ('span, not sampled', microseconds(_span_step('00'))),
         ('span, sampled and kept', microseconds(_span_step('01'))),
-        ('metric, cell', microseconds(lambda: setattr(cell, 'value', 1))),
+        ('metric, cell', microseconds(lambda: setattr(series, 'value', 1))),
         ('metric, buckets', microseconds(lambda: buckets.observe(0.01))),
         (
             'metric, the library itself',
--- a/src/lovageshunt/cli/_trace.py
+++ b/src/lovageshunt/cli/_trace.py
@@ -21,7 +21,7 @@
     MalformedSpanError,
     NodeAnswerError,
 )
-from lovageshunt.observability import SpanRecord, decode_span, trace_tree
+from lovageshunt.observability import SpanRecord, decode_span, format_trace_tree
 
 _ID: Final = re.compile('[A-Za-z0-9_.:-]+')
 
@@ -63,7 +63,7 @@
 
 
 def _show(spans: list[SpanRecord], some_id: str) -> None:
-    for line in trace_tree(spans):
+    for line in format_trace_tree(spans):
         write_line(line)
     if not spans:
         write_line(
--- a/src/lovageshunt/node/_assembly.py
+++ b/src/lovageshunt/node/_assembly.py
@@ -207,7 +207,7 @@
         self._metrics = Metrics(identity.name)
         self._traces = Traces(
             node=identity.name,
-            share=self._settings.traces.sample_ratio,
+            sampling_ratio=self._settings.traces.sample_ratio,
             slow_seconds=_SLOW_SPAN_SECONDS,
         )
         self._meter = CallMeter(
@@ -279,7 +279,7 @@
             inquiries=self._inquiries,
             target=self._target,
             keeping=self._keeping,
-            pauses=self._metrics.cell('lovageshunt_pauses_total'),
+            pauses=self._metrics.series('lovageshunt_pauses_total'),
             settler=SettlingController(
                 PeerConfirmations(self._control, self._outbox, self._link),
                 self._life,
--- a/src/lovageshunt/node/_runtime.py
+++ b/src/lovageshunt/node/_runtime.py
@@ -33,7 +33,7 @@
 from lovageshunt.node.serving._background import BackgroundJobs
 from lovageshunt.node.serving._calls import Calls
 from lovageshunt.node.serving._target import TargetLink
-from lovageshunt.observability import Cell
+from lovageshunt.observability import MetricSeries
 from lovageshunt.retries import PeerReported
 
 #: Interval of the main loop.
@@ -64,7 +64,7 @@
         inquiries: Inquiries,
         target: TargetLink,
         keeping: AccountReplicator,
-        pauses: Cell,
+        pauses: MetricSeries,
         settler: SettlingController,
         life: NodeLife,
         leave_seconds: float,
--- a/src/lovageshunt/node/admin/_reports.py
+++ b/src/lovageshunt/node/admin/_reports.py
@@ -114,20 +114,20 @@
         self._metrics.export_account(self._account.snapshot(time()))
         load = self._gate.load()
         service = self._control.identity.service
-        limit = self._metrics.cell('lovageshunt_concurrency_limit', service)
+        limit = self._metrics.series('lovageshunt_concurrency_limit', service)
         limit.value = load.limit
-        threshold = self._metrics.cell(
+        threshold = self._metrics.series(
             'lovageshunt_admission_threshold',
             service,
         )
         threshold.value = _capped_threshold(self._gate.threshold)
-        generation = self._metrics.cell('lovageshunt_rules_generation')
+        generation = self._metrics.series('lovageshunt_rules_generation')
         generation.value = self._generation()
-        sent = self._metrics.cell('lovageshunt_control_bytes_total', 'peers')
+        sent = self._metrics.series('lovageshunt_control_bytes_total', 'peers')
         sent.value = self._link.sent_bytes
-        age = self._metrics.cell('lovageshunt_platform_read_age_seconds')
+        age = self._metrics.series('lovageshunt_platform_read_age_seconds')
         age.value = self._control.fleet.platform_age_seconds()
-        suppressed = self._metrics.cell('lovageshunt_logs_suppressed_total')
+        suppressed = self._metrics.series('lovageshunt_logs_suppressed_total')
         suppressed.value = self._suppressed()
         self._export_members()
         return self._metrics.render(accepts)
@@ -141,7 +141,7 @@
                 'available': len(members) - suspects,
             }
             for state, count in count_by_state.items():
-                targets = self._metrics.cell(
+                targets = self._metrics.series(
                     'lovageshunt_targets',
                     service,
                     state,
--- a/src/lovageshunt/observability/__init__.py
+++ b/src/lovageshunt/observability/__init__.py
@@ -1,11 +1,15 @@
-"""Logs, metrics and traces."""
+"""Structured logs, metrics and traces of one process."""
 
 from lovageshunt.observability._logs import (
-    RateLimit,
+    LogRateLimit,
     configure_logs,
     log_scope,
 )
-from lovageshunt.observability._metrics import Buckets, Cell, Metrics
+from lovageshunt.observability._metrics import (
+    HistogramBuckets,
+    Metrics,
+    MetricSeries,
+)
 from lovageshunt.observability._spans import (
     ActiveSpan,
     SpanRecord,
@@ -13,20 +17,20 @@
 )
 from lovageshunt.observability._specs import METRIC_SPECS, MetricSpec
 from lovageshunt.observability._traces import Traces
-from lovageshunt.observability._tree import trace_tree
+from lovageshunt.observability._tree import format_trace_tree
 
 __all__ = [
     'METRIC_SPECS',
     'ActiveSpan',
-    'Buckets',
-    'Cell',
+    'HistogramBuckets',
+    'MetricSeries',
     'MetricSpec',
     'Metrics',
-    'RateLimit',
+    'LogRateLimit',
     'SpanRecord',
     'Traces',
     'configure_logs',
     'decode_span',
     'log_scope',
-    'trace_tree',
+    'format_trace_tree',
 ]
--- a/src/lovageshunt/observability/_logs.py
+++ b/src/lovageshunt/observability/_logs.py
@@ -1,4 +1,4 @@
-"""Logs as JSON lines, limited in rate, with the ids of request and trace."""
+"""Rate-limited JSON log lines with request and trace ids."""
 
 import logging
 import time
@@ -16,12 +16,13 @@
 )
 
 
-class RateLimit(logging.Filter):
-    """Let at most so many records a second pass, and count the others.
+class LogRateLimit(logging.Filter):
+    """Drop and count the records above a rate.
 
-    The first record of a later second carries ``suppressed``, the number
-    held back since the last one that carried it. Errors always pass, up to
-    the same number a second again.
+    The first record that passes after a drop carries ``suppressed``, the
+    number of records dropped since the last one that carried it. Errors have
+    a limit of their own, equally high, so that other records cannot displace
+    them. ``suppressed_total`` counts all dropped records.
     """
 
     def __init__(
@@ -29,7 +30,7 @@
         records_per_second: int,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Take the rate and the clock, in seconds."""
+        """Limit to a rate in records per second of a clock in seconds."""
         super().__init__()
         self._records_per_second = records_per_second
         self._clock = clock
@@ -40,9 +41,9 @@
         self._suppressed = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Say whether the record passes, and mark what was held back."""
-        self._turn(int(self._clock()))
-        if not self._has_room(record):
+        """Return whether the record passes; add ``suppressed`` if it is due."""
+        self._start_second(int(self._clock()))
+        if not self._is_within_limit(record):
             self._suppressed += 1
             self.suppressed_total += 1
             return False
@@ -51,14 +52,14 @@
             self._suppressed = 0
         return True
 
-    def _turn(self, second: int) -> None:
+    def _start_second(self, second: int) -> None:
         if second == self._second:
             return
         self._second = second
         self._passed = 0
         self._passed_errors = 0
 
-    def _has_room(self, record: logging.LogRecord) -> bool:
+    def _is_within_limit(self, record: logging.LogRecord) -> bool:
         if record.levelno >= logging.ERROR:
             self._passed_errors += 1
             return self._passed_errors <= self._records_per_second
@@ -66,11 +67,11 @@
         return self._passed <= self._records_per_second
 
 
-class _Scope(logging.Filter):
-    """Put the ids of the request and the trace on each record."""
+class _ScopeIds(logging.Filter):
+    """Add the ids of the current request and trace to each record."""
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Fill in the ids that the record does not carry itself."""
+        """Pass every record; ids that it already has are kept."""
         request_id, trace_id = _SCOPE.get()
         record.__dict__.setdefault('request_id', request_id)
         record.__dict__.setdefault('trace_id', trace_id)
@@ -79,7 +80,7 @@
 
 @contextmanager
 def log_scope(request_id: str, trace_id: str = '') -> Iterator[None]:
-    """Put these ids on each record logged inside, also by tasks begun there."""
+    """Add ids to records logged in the block or by tasks started there."""
     token = _SCOPE.set((request_id, trace_id))
     try:
         yield
@@ -92,14 +93,14 @@
     records_per_second: int,
     stream: TextIO | None = None,
     node: str = '',
-) -> RateLimit:
+) -> LogRateLimit:
     """Send all logs as JSON lines to one stream, by default standard error.
 
-    ``level`` is a name such as ``INFO``. All earlier handlers are removed.
-    A ``node`` is named on every line.
-    Returns the limit, whose ``suppressed_total`` goes into the metrics.
+    ``level`` is a name such as ``INFO``. Existing handlers of the root logger
+    are removed. If ``node`` is given, every line has it as a field.
+    Returns the rate limit, whose ``suppressed_total`` is for the metrics.
     """
-    limit = RateLimit(records_per_second)
+    limit = LogRateLimit(records_per_second)
     handler = logging.StreamHandler(stream)
     static_fields = {'node': node} if node else {}
     handler.setFormatter(
@@ -110,8 +111,8 @@
         ),
     )
     handler.addFilter(limit)
-    handler.addFilter(_Scope())
-    # The server tells of each start and connection below this level.
+    handler.addFilter(_ScopeIds())
+    # Below this level the HTTP server logs each start and each connection.
     logging.getLogger('uvicorn').setLevel(logging.WARNING)
     logging.basicConfig(level=level, handlers=[handler], force=True)
     return limit
--- a/src/lovageshunt/observability/_metrics.py
+++ b/src/lovageshunt/observability/_metrics.py
@@ -1,7 +1,7 @@
-"""Metrics, counted in plain numbers and exported when they are scraped.
+"""Metrics, counted in plain numbers and exported at each scrape.
 
-A collector of the library serialises its labels at each increment, so the
-cells here hold the numbers and the collectors are filled at the scrape.
+The collectors of the library serialise their labels at each increment. So the
+series here hold the numbers, and the collectors are filled at the scrape.
 """
 
 from bisect import bisect_left
@@ -23,7 +23,7 @@
     MetricSpec,
 )
 
-#: Upper bounds of the buckets of every histogram, in seconds.
+#: Inclusive upper bounds of the buckets of every histogram, in seconds.
 BUCKETS_SECONDS: Final = (
     0.001,
     0.0025,
@@ -51,96 +51,117 @@
 _Labels = tuple[str, ...]
 
 
-class Cell:
-    """One number of one metric; add to ``value`` or set it."""
+class MetricSeries:
+    """The value of a counter or gauge for one set of labels.
+
+    Callers add to ``value`` or set it.
+    """
 
     __slots__ = ('value',)
 
     def __init__(self) -> None:
-        """Start at 0."""
         self.value: float = 0
 
 
-class Buckets:
-    """The observations of one histogram, counted by bucket."""
+class HistogramBuckets:
+    """The observations of a histogram for one set of labels.
+
+    Counts are per bucket and not cumulative; the sum is in seconds.
+    """
 
-    __slots__ = ('_count_by_bucket', '_total')
+    __slots__ = ('_count_by_bucket', '_sum_seconds')
 
     def __init__(self) -> None:
-        """Start with no observations."""
         self._count_by_bucket = [0, *(0 for _ in BUCKETS_SECONDS)]
-        self._total: float = 0
+        self._sum_seconds: float = 0
 
     def observe(self, seconds: float) -> None:
-        """Count one observation."""
+        """Add one observation, a duration in seconds."""
         self._count_by_bucket[bisect_left(BUCKETS_SECONDS, seconds)] += 1
-        self._total += seconds
+        self._sum_seconds += seconds
 
-    def exported(self) -> BucketCounts:
-        """Return the library's form, whose buckets hold those below."""
+    def export(self) -> BucketCounts:
+        """Return the counts in the library's form, which is cumulative."""
         counts = BucketCounts(*BUCKETS_SECONDS)
-        sums = accumulate(self._count_by_bucket)
-        counts.buckets.update(zip(counts.buckets, sums, strict=True))
+        cumulative = accumulate(self._count_by_bucket)
+        counts.buckets.update(zip(counts.buckets, cumulative, strict=True))
         counts.observations = sum(self._count_by_bucket)
-        counts.sum = self._total
+        counts.sum = self._sum_seconds
         return counts
 
 
 class Metrics:
-    """The metrics of one process, by the names in ``METRIC_SPECS``."""
+    """The metrics of one process, by the names in ``METRIC_SPECS``.
+
+    The name of the node is a label of each of them.
+    """
 
     __slots__ = (
         '_buckets_by_name',
-        '_cells_by_name',
+        '_series_by_name',
         '_collector_by_name',
         '_registry',
         '_spec_by_name',
     )
 
     def __init__(self, node: str) -> None:
-        """Make every metric, with the node's name as a label."""
         self._registry = Registry()
         self._spec_by_name = {spec.name: spec for spec in METRIC_SPECS}
-        self._cells_by_name: dict[str, dict[_Labels, Cell]] = {}
-        self._buckets_by_name: dict[str, dict[_Labels, Buckets]] = {}
+        self._series_by_name: dict[str, dict[_Labels, MetricSeries]] = {}
+        self._buckets_by_name: dict[str, dict[_Labels, HistogramBuckets]] = {}
         self._collector_by_name = {
-            spec.name: self._collector(spec, {'node': _escaped(node)})
+            spec.name: self._create_collector(
+                spec, {'node': _escape_label(node)}
+            )
             for spec in METRIC_SPECS
         }
 
-    def cell(self, name: str, *label_values: str) -> Cell:
-        """Return the number of a counter or gauge, to be kept by its user."""
-        cells = self._cells_by_name.setdefault(name, {})
-        return cells.setdefault(self._checked(name, label_values), Cell())
+    def series(self, name: str, *label_values: str) -> MetricSeries:
+        """Return the series of a counter or gauge, the same at each call.
 
-    def buckets(self, name: str, *label_values: str) -> Buckets:
-        """Return the buckets of a histogram, to be kept by their user."""
-        held = self._buckets_by_name.setdefault(name, {})
-        return held.setdefault(self._checked(name, label_values), Buckets())
+        Raises ``ValueError`` if the number of label values is wrong.
+        """
+        series_by_labels = self._series_by_name.setdefault(name, {})
+        return series_by_labels.setdefault(
+            self._check_labels(name, label_values), MetricSeries()
+        )
+
+    def buckets(self, name: str, *label_values: str) -> HistogramBuckets:
+        """Return the buckets of a histogram, the same at each call.
+
+        Raises ``ValueError`` if the number of label values is wrong.
+        """
+        buckets_by_labels = self._buckets_by_name.setdefault(name, {})
+        return buckets_by_labels.setdefault(
+            self._check_labels(name, label_values), HistogramBuckets()
+        )
 
     def export_account(self, snapshot: AccountSnapshot) -> None:
-        """Set the metrics of calls from an account's snapshot."""
+        """Set the metrics of calls to the counts of an account's snapshot."""
         for line in snapshot.lines:
             for name, labels, count in _account_counts(line):
                 key = (line.service, line.kind, str(line.importance))
-                self.cell(name, *key, *labels).value = count
+                self.series(name, *key, *labels).value = count
 
     def render(
         self, accepts: Sequence[str] = ()
     ) -> tuple[bytes, dict[str, str]]:
-        """Return the exposition and its HTTP headers."""
-        for name, cells in self._cells_by_name.items():
-            for labels, cell in cells.items():
-                self._export(name, labels, cell.value)
-        for name, held in self._buckets_by_name.items():
-            for labels, buckets in held.items():
-                self._export(name, labels, buckets.exported())
+        """Return the exposition in an accepted format and its HTTP headers."""
+        for name, series_by_labels in self._series_by_name.items():
+            for labels, series in series_by_labels.items():
+                self._export(name, labels, series.value)
+        for name, buckets_by_labels in self._buckets_by_name.items():
+            for labels, buckets in buckets_by_labels.items():
+                self._export(name, labels, buckets.export())
         return render(self._registry, accepts)
 
-    def _checked(self, name: str, label_values: _Labels) -> _Labels:
+    def _check_labels(self, name: str, label_values: _Labels) -> _Labels:
         expected = self._spec_by_name[name].labels
         if len(expected) != len(label_values):
-            raise ValueError(f'{name} takes the labels {expected}')
+            raise ValueError(
+                f'metric {name}: expected labels {expected}, got values '
+                f'{label_values}',
+            )
         return label_values
 
     def _export(
@@ -150,11 +171,11 @@
         exported: float | BucketCounts,
     ) -> None:
         names = self._spec_by_name[name].labels
-        values = map(_escaped, label_values)
+        values = map(_escape_label, label_values)
         labels = dict(zip(names, values, strict=True))
         self._collector_by_name[name].set_value(labels, exported)
 
-    def _collector(
+    def _create_collector(
         self,
         spec: MetricSpec,
         const_labels: dict[str, str],
@@ -187,6 +208,6 @@
         yield 'lovageshunt_calls_ended_total', ended, cause.calls
 
 
-def _escaped(label: str) -> str:
-    # The library writes labels as they are, and kinds come from callers.
+def _escape_label(label: str) -> str:
+    # The library does not escape label values, and callers choose the kinds.
     return label.translate(_ESCAPES)
--- a/src/lovageshunt/observability/_spans.py
+++ b/src/lovageshunt/observability/_spans.py
@@ -1,18 +1,19 @@
-"""A span as it runs and as it is kept."""
+"""Spans of hops, while they run and as they are stored."""
 
 from typing import Any, Final
 
 from lovageshunt._record import Record
 from lovageshunt.errors import MalformedSpanError
 
-_NUMBERS: Final = frozenset(('started_at', 'duration_ms'))
+_FLOAT_FIELDS: Final = frozenset(('started_at', 'duration_ms'))
 
 
 class ActiveSpan(Record):
-    """A hop of a call that is not yet over.
+    """A hop of a call that has not ended.
 
-    Ids are hexadecimal as in the W3C header. ``trace_parent`` is the header
-    to send to the next hop.
+    Ids are hexadecimal as in the W3C ``traceparent`` header, and
+    ``parent_id`` is empty for the first hop. ``trace_parent`` is the header to
+    send to the next hop. ``started_ns`` is in nanoseconds since 1970.
     """
 
     __slots__ = (
@@ -42,7 +43,6 @@
         service: str,
         started_ns: int,
     ) -> None:
-        """Take the ids and the start, in nanoseconds since 1970."""
         self.name = name
         self.trace_id = trace_id
         self.span_id = span_id
@@ -56,9 +56,10 @@
 
 
 class SpanRecord(Record):
-    """A hop of a call that is over, as the nodes' recent memory keeps it.
+    """A hop of a call that has ended, as a node stores and reports it.
 
-    ``started_at`` is in seconds since 1970 on the node's clock.
+    ``started_at`` is in seconds since 1970 on the node's clock,
+    ``duration_ms`` in milliseconds. ``reason`` is empty if there is none.
     """
 
     __slots__ = (
@@ -92,7 +93,6 @@
         outcome: str,
         reason: str,
     ) -> None:
-        """Take every field by name."""
         self.trace_id = trace_id
         self.span_id = span_id
         self.parent_id = parent_id
@@ -108,16 +108,19 @@
 
 
 def decode_span(fields: dict[str, Any]) -> SpanRecord:
-    """Return the span in what a JSON decoder made of it.
+    """Return the span from a decoded JSON object.
 
-    Raises ``MalformedSpanError`` when it is none.
+    Raises ``MalformedSpanError`` if a field is missing, unknown or of the
+    wrong type.
     """
     try:
         span = SpanRecord(**fields)
     except TypeError as error:
         raise MalformedSpanError(str(error)) from error
     for name, field in span.as_dict().items():
-        expected = float if name in _NUMBERS else str
+        expected = float if name in _FLOAT_FIELDS else str
         if not isinstance(field, expected):
-            raise MalformedSpanError(f'{name} is {field!r}')
+            raise MalformedSpanError(
+                f'{name}: expected {expected.__name__}, got {field!r}',
+            )
     return span
--- a/src/lovageshunt/observability/_specs.py
+++ b/src/lovageshunt/observability/_specs.py
@@ -1,4 +1,4 @@
-"""The metrics by name: kind, labels, meaning and the alert for each."""
+"""The specifications of all metrics, each with an alert condition."""
 
 from typing import Final
 
@@ -10,10 +10,11 @@
 
 
 class MetricSpec(Record):
-    """One metric as operators meet it.
+    """One metric as it is exposed and documented.
 
-    ``alert`` is the condition that deserves a look; ``labels`` name its
-    dimensions, none of which grows with traffic.
+    ``meaning`` is its help text and ``alert`` the condition on which an
+    operator should look. The number of values of each label is bounded and
+    does not grow with traffic.
     """
 
     __slots__ = ('name', 'kind', 'labels', 'meaning', 'alert')
@@ -27,7 +28,6 @@
         alert: str,
         labels: tuple[str, ...] = (),
     ) -> None:
-        """Take every field by name."""
         self.name = name
         self.kind = kind
         self.labels = labels
@@ -37,7 +37,7 @@
 
 _CALL_LABELS: Final = ('service', 'kind', 'importance')
 
-#: Every metric that a node or a client exposes.
+#: Every metric that a node, a sidecar or a client exposes.
 METRIC_SPECS: Final = (
     MetricSpec(
         name='lovageshunt_calls_arrived_total',
@@ -198,7 +198,8 @@
         name='lovageshunt_target_accepted_share',
         kind=GAUGE,
         meaning='share of the calls sent to it that the target does not refuse',
-        alert='below 0.9 for 10 s while lovageshunt_target_calls has room',
+        alert='below 0.9 for 10 s while running calls in '
+        'lovageshunt_target_calls are below the slots',
     ),
     MetricSpec(
         name='lovageshunt_target_calls',
--- a/src/lovageshunt/observability/_traces.py
+++ b/src/lovageshunt/observability/_traces.py
@@ -1,4 +1,4 @@
-"""Traces with a span for each hop, kept in a bounded memory."""
+"""Traces with a span for each hop, stored in bounded memory."""
 
 import time
 from collections import deque
@@ -35,12 +35,16 @@
 _HEADER: Final = 'traceparent'
 _NS_PER_SECOND: Final = 1_000_000_000
 _NS_PER_MS: Final = 1_000_000
-#: Sampling looks at this part of a trace id, as the SDK's sampler does.
-_SAMPLED_BITS: Final = (1 << 64) - 1
+#: Sampling compares the low 64 bits of a trace id, as the SDK's sampler does.
+_SAMPLING_MASK: Final = (1 << 64) - 1
 
 
-class _HandedOutIds(IdGenerator):
-    """Give a span the ids that its hop already sent to the next one."""
+class _PresetIds(IdGenerator):
+    """Returns preset ids instead of new ones.
+
+    The SDK creates a span only when its hop ends, and by then the next hop
+    has already received the ids.
+    """
 
     def __init__(self) -> None:
         self.trace_id = 0
@@ -54,48 +58,52 @@
 
 
 class _RecentSpans(SpanExporter):
-    """Hold the newest spans in a ring."""
+    """Stores the newest spans; the oldest are dropped at ``capacity``."""
 
     def __init__(self, capacity: int) -> None:
         self.records: deque[SpanRecord] = deque(maxlen=capacity)
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        self.records.extend(_record_of(span) for span in spans)
+        self.records.extend(_to_record(span) for span in spans)
         return SpanExportResult.SUCCESS
 
 
 class Traces:
-    """Begin and end the spans of one node or caller.
+    """Starts and ends the spans of one node or caller.
 
-    A span of a sampled trace is kept, and so is each that was not answered
-    or took ``slow_seconds`` or longer. Only a kept span is made with the
-    SDK, when it ends, so that the others cost little. ``share`` is the part
-    of new traces to sample, from 0 to 1; a trace that a caller sampled, or
-    did not, stays so. ``capacity`` counts the spans held in memory.
+    A span is stored if its trace is sampled, if its call was not answered or
+    if it took at least ``slow_seconds``. Only a stored span is created with
+    the SDK, and only when it ends, so that the others cost little.
+
+    ``sampling_ratio`` is the share of new traces to sample, from 0 to 1; for
+    other traces the decision of the caller applies. ``capacity`` is the
+    maximum number of spans in memory. Each of ``exporters`` also gets every
+    stored span.
     """
 
     def __init__(
         self,
         *,
         node: str,
-        share: float,
+        sampling_ratio: float,
         slow_seconds: float,
         capacity: int = 512,
         exporters: Iterable[SpanExporter] = (),
         clock_ns: Callable[[], int] = time.time_ns,
         ids: IdGenerator | None = None,
     ) -> None:
-        """Take the settings; ``exporters`` also get each kept span."""
         self._ids = ids or RandomIdGenerator()
         self._clock_ns = clock_ns
         self._slow_ns = int(slow_seconds * _NS_PER_SECOND)
-        self._bound = TraceIdRatioBased.get_bound_for_rate(share)
+        self._sampling_bound = TraceIdRatioBased.get_bound_for_rate(
+            sampling_ratio
+        )
         self._propagator = TraceContextTextMapPropagator()
         self._recent = _RecentSpans(capacity)
-        self._handed_out = _HandedOutIds()
+        self._preset_ids = _PresetIds()
         provider = TracerProvider(
             sampler=ALWAYS_ON,
-            id_generator=self._handed_out,
+            id_generator=self._preset_ids,
             resource=Resource({'service.instance.id': node}),
             shutdown_on_exit=False,
         )
@@ -112,16 +120,16 @@
         call_id: str = '',
         service: str = '',
     ) -> ActiveSpan:
-        """Begin a span, in the trace of ``trace_parent`` if that is valid."""
+        """Start a span, in a new trace if ``trace_parent`` is not valid."""
         parent = self._extract(trace_parent)
-        own = self._own_context(parent)
+        span_context = self._new_span_context(parent)
         return ActiveSpan(
             name=name,
-            trace_id=format_trace_id(own.trace_id),
-            span_id=format_span_id(own.span_id),
+            trace_id=format_trace_id(span_context.trace_id),
+            span_id=format_span_id(span_context.span_id),
             parent_id=format_span_id(parent.span_id) if parent.is_valid else '',
-            is_sampled=own.trace_flags.sampled,
-            trace_parent=self._inject(own),
+            is_sampled=span_context.trace_flags.sampled,
+            trace_parent=self._inject(span_context),
             request_id=request_id,
             call_id=call_id,
             service=service,
@@ -134,40 +142,40 @@
         outcome: Outcome,
         reason: RefusalReason | None = None,
     ) -> bool:
-        """End a span and say whether it was kept."""
+        """End a span and return whether it was stored."""
         ended_ns = self._clock_ns()
         is_slow = ended_ns - span.started_ns >= self._slow_ns
-        is_dull = outcome is Outcome.ANSWERED and not is_slow
-        if is_dull and not span.is_sampled:
+        is_fast_answer = outcome is Outcome.ANSWERED and not is_slow
+        if is_fast_answer and not span.is_sampled:
             return False
-        self._keep(span, ended_ns, outcome, reason)
+        self._store(span, ended_ns, outcome, reason)
         return True
 
-    def recent(self, some_id: str) -> list[SpanRecord]:
-        """Return the kept spans of a trace or request id, oldest first."""
+    def recent(self, trace_or_request_id: str) -> list[SpanRecord]:
+        """Return the stored spans of a trace or request, first ended first."""
         return [
             record
             for record in self._recent.records
-            if some_id in (record.trace_id, record.request_id)
+            if trace_or_request_id in (record.trace_id, record.request_id)
         ]
 
     def _extract(self, trace_parent: str) -> SpanContext:
         context = self._propagator.extract({_HEADER: trace_parent})
         return get_current_span(context).get_span_context()
 
-    def _inject(self, own: SpanContext) -> str:
+    def _inject(self, span_context: SpanContext) -> str:
         carrier: dict[str, str] = {}
-        context = set_span_in_context(NonRecordingSpan(own))
+        context = set_span_in_context(NonRecordingSpan(span_context))
         self._propagator.inject(carrier, context)
         return carrier[_HEADER]
 
-    def _own_context(self, parent: SpanContext) -> SpanContext:
+    def _new_span_context(self, parent: SpanContext) -> SpanContext:
         if parent.is_valid:
             trace_id = parent.trace_id
             flags = parent.trace_flags
         else:
             trace_id = self._ids.generate_trace_id()
-            is_sampled = trace_id & _SAMPLED_BITS < self._bound
+            is_sampled = trace_id & _SAMPLING_MASK < self._sampling_bound
             flags = TraceFlags(TraceFlags.SAMPLED if is_sampled else 0)
         return SpanContext(
             trace_id=trace_id,
@@ -176,16 +184,16 @@
             trace_flags=flags,
         )
 
-    def _keep(
+    def _store(
         self,
         span: ActiveSpan,
         ended_ns: int,
         outcome: Outcome,
         reason: RefusalReason | None,
     ) -> None:
-        self._handed_out.trace_id = int(span.trace_id, 16)
-        self._handed_out.span_id = int(span.span_id, 16)
-        kept = self._tracer.start_span(
+        self._preset_ids.trace_id = int(span.trace_id, 16)
+        self._preset_ids.span_id = int(span.span_id, 16)
+        stored = self._tracer.start_span(
             span.name,
             context=self._parent_context(span),
             start_time=span.started_ns,
@@ -197,7 +205,7 @@
                 'reason': reason.value if reason else '',
             },
         )
-        kept.end(ended_ns)
+        stored.end(ended_ns)
 
     def _parent_context(self, span: ActiveSpan) -> Context:
         if not span.parent_id:
@@ -210,22 +218,23 @@
         return set_span_in_context(NonRecordingSpan(parent))
 
 
-def _record_of(span: ReadableSpan) -> SpanRecord:
-    # The SDK always gives a span that has ended its context and its times.
+def _to_record(span: ReadableSpan) -> SpanRecord:
+    # A span that has ended always has a context and times; the fallbacks are
+    # for the type checker, as the SDK declares them optional.
     context = span.get_span_context() or INVALID_SPAN_CONTEXT
     started_ns = span.start_time or 0
-    told = span.attributes or {}
+    attributes = span.attributes or {}
     return SpanRecord(
         trace_id=format_trace_id(context.trace_id),
         span_id=format_span_id(context.span_id),
         parent_id=format_span_id(span.parent.span_id) if span.parent else '',
         name=span.name,
         node=str(span.resource.attributes['service.instance.id']),
-        service=str(told['service']),
-        request_id=str(told['request_id']),
-        call_id=str(told['call_id']),
+        service=str(attributes['service']),
+        request_id=str(attributes['request_id']),
+        call_id=str(attributes['call_id']),
         started_at=started_ns / _NS_PER_SECOND,
         duration_ms=((span.end_time or 0) - started_ns) / _NS_PER_MS,
-        outcome=str(told['outcome']),
-        reason=str(told['reason']),
+        outcome=str(attributes['outcome']),
+        reason=str(attributes['reason']),
     )
--- a/src/lovageshunt/settings/__init__.py
+++ b/src/lovageshunt/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings files in INI, checked with one error per fault."""
+"""INI settings files, validated with one report per fault."""
 
 from lovageshunt.settings._fault import SettingsFault
 from lovageshunt.settings._keys import (
@@ -12,8 +12,8 @@
 from lovageshunt.settings._kinds import (
     Address,
     ValueKind,
-    read_address,
-    read_addresses,
+    parse_address,
+    parse_addresses,
 )
 from lovageshunt.settings._load import load_client_settings, load_node_settings
 from lovageshunt.settings._sections import (
@@ -75,6 +75,6 @@
     'load_client_settings',
     'load_node_settings',
     'load_sidecar_settings',
-    'read_address',
-    'read_addresses',
+    'parse_address',
+    'parse_addresses',
 ]
--- a/src/lovageshunt/settings/_fault.py
+++ b/src/lovageshunt/settings/_fault.py
@@ -1,10 +1,14 @@
-"""What is wrong with one key of a settings file."""
+"""A validation fault in a settings file."""
 
 from lovageshunt._record import Record
 
 
 class SettingsFault(Record):
-    """One fault: where it is, what stands there and how to mend it."""
+    """One fault: its location, the value found and how to correct it.
+
+    ``section`` and ``key`` are empty for a fault of the file, ``key`` also for
+    a fault of a section.
+    """
 
     __slots__ = ('path', 'section', 'key', 'value', 'expected', 'remedy')
 
@@ -18,7 +22,6 @@
         expected: str,
         remedy: str,
     ) -> None:
-        """Take every field by name; empty where it does not apply."""
         self.path = path
         self.section = section
         self.key = key
@@ -27,10 +30,11 @@
         self.remedy = remedy
 
     def __str__(self) -> str:
-        """Say all of it in one line."""
-        place = f'{self.path} [{self.section}]'
+        """Format the fault as one line for operators."""
+        location = f'{self.path} [{self.section}]'
         if self.key:
-            place = f'{place} {self.key}'
+            location = f'{location} {self.key}'
         return (
-            f'{place}: {self.value!r}, expected {self.expected}; {self.remedy}'
+            f'{location}: {self.value!r}, expected {self.expected}; '
+            f'{self.remedy}'
         )
--- a/src/lovageshunt/settings/_keys.py
+++ b/src/lovageshunt/settings/_keys.py
@@ -1,4 +1,7 @@
-"""The table of every section and key, which the reference page repeats."""
+"""Sections and keys of the settings of nodes and callers.
+
+The reference page repeats these tables, and a test compares them.
+"""
 
 from typing import Final
 
@@ -10,22 +13,26 @@
     TEXT,
     URL_PATH,
     ValueKind,
-    number,
+    bounded_float,
+    bounded_int,
     one_of,
-    whole_number,
 )
 
-#: The default of a key that must be given.
+#: Marks a key without a default, which must be given.
 REQUIRED: Final = '(required)'
-#: The default of a key that may be left out and then is ``None``.
+#: Marks an optional key, whose value is ``None`` if it is left out.
 ABSENT: Final = '(none)'
 
 _MAX_COUNT: Final = 1_000_000
-_DAY_SECONDS: Final = 86400
+_MAX_SECONDS: Final = 86400
 
 
 class Key(Record):
-    """One key: its name, kind, default, unit and meaning."""
+    """One key of a section.
+
+    ``default`` is text in the file's syntax, ``REQUIRED`` or ``ABSENT``;
+    ``meaning`` is the description on the reference page.
+    """
 
     __slots__ = ('name', 'kind', 'default', 'unit', 'meaning')
 
@@ -38,7 +45,6 @@
         default: str = REQUIRED,
         unit: str = '',
     ) -> None:
-        """Take every field by name."""
         self.name = name
         self.kind = kind
         self.default = default
@@ -47,7 +53,7 @@
 
 
 class SectionTable(Record):
-    """One section and its keys."""
+    """One section, its description on the reference page and its keys."""
 
     __slots__ = ('name', 'meaning', 'keys')
 
@@ -58,17 +64,16 @@
         meaning: str,
         keys: tuple[Key, ...],
     ) -> None:
-        """Take every field by name."""
         self.name = name
         self.meaning = meaning
         self.keys = keys
 
 
-#: Where a VM stands, the same for every kind of process.
+#: The location of a VM, which every kind of process has in its settings.
 FAILURE_DOMAIN: Final = Key(
     name='failure_domain',
     kind=TEXT,
-    meaning='The failure domain that the VM stands in.',
+    meaning='The failure domain of the VM.',
 )
 REGION: Final = Key(
     name='region',
@@ -79,12 +84,12 @@
 
 _NODE: Final = SectionTable(
     name='node',
-    meaning='Who this node is.',
+    meaning='The identity of this node.',
     keys=(
         Key(
             name='name',
             kind=TEXT,
-            meaning='The name that the published list of VMs has for it.',
+            meaning='The name of its VM in the published list of VMs.',
         ),
         Key(name='service', kind=TEXT, meaning='The service of its target.'),
         FAILURE_DOMAIN,
@@ -113,18 +118,18 @@
 
 _TARGET: Final = SectionTable(
     name='target',
-    meaning='The target beside this node.',
+    meaning='The target on the VM of this node.',
     keys=(
         Key(name='address', kind=ADDRESS, meaning='Where it listens.'),
         Key(
             name='slots',
-            kind=whole_number(1, _MAX_COUNT),
+            kind=bounded_int(1, _MAX_COUNT),
             unit='calls',
-            meaning='How many calls it says that it can run at once.',
+            meaning='The number of calls that it can run concurrently.',
         ),
         Key(
             name='connections',
-            kind=whole_number(1, _MAX_COUNT),
+            kind=bounded_int(1, _MAX_COUNT),
             unit='connections',
             meaning='How many connections it accepts.',
         ),
@@ -150,21 +155,21 @@
         Key(
             name='addresses',
             kind=ADDRESSES,
-            meaning='The configuration service; tried in this order.',
+            meaning='The configuration service, tried in this order.',
         ),
         Key(
             name='poll_seconds',
-            kind=number(0.1, _DAY_SECONDS),
+            kind=bounded_float(0.1, _MAX_SECONDS),
             default='5',
             unit='seconds',
-            meaning='How often a reader reads when no watch answers.',
+            meaning='The polling interval of a reader while no watch answers.',
         ),
         Key(
             name='readers_per_failure_domain',
-            kind=whole_number(1, 100),
+            kind=bounded_int(1, 100),
             default='3',
             unit='nodes',
-            meaning='How many nodes of a failure domain read for the others.',
+            meaning='Nodes per failure domain that read for the others.',
         ),
     ),
 )
@@ -188,14 +193,14 @@
     keys=(
         Key(
             name='queue_target_ms',
-            kind=number(1, 60_000),
+            kind=bounded_float(1, 60_000),
             default='20',
             unit='milliseconds',
             meaning='The wait above which calls are refused by level.',
         ),
         Key(
             name='interval_ms',
-            kind=number(10, 60_000),
+            kind=bounded_float(10, 60_000),
             default='100',
             unit='milliseconds',
             meaning='How often the limit and the threshold are corrected.',
@@ -246,7 +251,7 @@
     keys=(
         Key(
             name='sample_ratio',
-            kind=number(0, 1),
+            kind=bounded_float(0, 1),
             default='0.01',
             meaning='The share of other root requests that is traced.',
         ),
@@ -261,11 +266,11 @@
             name='level',
             kind=one_of('debug', 'info', 'warning', 'error'),
             default='info',
-            meaning='The least level that is written.',
+            meaning='The minimum level that is written.',
         ),
         Key(
             name='records_per_second',
-            kind=number(1, _MAX_COUNT),
+            kind=bounded_float(1, _MAX_COUNT),
             default='50',
             unit='lines a second',
             meaning='The rate above which lines are dropped and counted.',
@@ -279,55 +284,55 @@
     keys=(
         Key(
             name='table_entries',
-            kind=whole_number(100, 10_000_000),
+            kind=bounded_int(100, 10_000_000),
             default='12000',
             unit='calls',
-            meaning='How many calls that run at most once are remembered.',
+            meaning='The maximum number of at-most-once calls remembered.',
         ),
         Key(
             name='body_bytes',
-            kind=whole_number(1024, 1_000_000_000),
+            kind=bounded_int(1024, 1_000_000_000),
             default='1048576',
             unit='bytes',
             meaning='The largest body of a request or an answer.',
         ),
         Key(
             name='retention_seconds',
-            kind=number(1, _DAY_SECONDS),
+            kind=bounded_float(1, _MAX_SECONDS),
             default='600',
             unit='seconds',
-            meaning='How long the outcome of such a call is remembered.',
+            meaning='How long the outcome of an at-most-once call is kept.',
         ),
         Key(
             name='settle_seconds',
-            kind=number(0, _DAY_SECONDS),
+            kind=bounded_float(0, _MAX_SECONDS),
             default='5',
             unit='seconds',
             meaning=(
-                'The least age of a node that takes first attempts of calls '
-                'that run at most once.'
+                'The minimum age of a node that accepts first attempts of '
+                'at-most-once calls.'
             ),
         ),
         Key(
             name='transit_seconds',
-            kind=number(0, _DAY_SECONDS),
+            kind=bounded_float(0, _MAX_SECONDS),
             default='10',
             unit='seconds',
             meaning=(
-                'How long a request may be on its way in the network; a new '
-                'node waits as long before such first attempts.'
+                'The maximum time of a request in the network; a new node '
+                'waits as long before it accepts such first attempts.'
             ),
         ),
         Key(
             name='leave_seconds',
-            kind=number(0, _DAY_SECONDS),
+            kind=bounded_float(0, _MAX_SECONDS),
             default='3',
             unit='seconds',
             meaning='How long a leaving node still answers with "not run".',
         ),
         Key(
             name='drain_seconds',
-            kind=number(0, _DAY_SECONDS),
+            kind=bounded_float(0, _MAX_SECONDS),
             default='30',
             unit='seconds',
             meaning='How long a leaving node waits for calls in progress.',
@@ -337,7 +342,7 @@
 
 _CLIENT: Final = SectionTable(
     name='client',
-    meaning='Who this caller is.',
+    meaning='The identity of this caller.',
     keys=(
         Key(name='name', kind=TEXT, meaning='The name that the rules use.'),
         FAILURE_DOMAIN,
@@ -352,7 +357,7 @@
         Key(
             name='seeds',
             kind=ADDRESSES,
-            meaning='Admin addresses of a few nodes; the rest is learned.',
+            meaning='Admin addresses of some nodes, which report the others.',
         ),
         Key(
             name='services',
@@ -362,7 +367,7 @@
     ),
 )
 
-#: The sections of a node's file.
+#: The sections of a node's settings file.
 NODE_TABLES: Final = (
     _NODE,
     _LISTEN,
@@ -375,5 +380,5 @@
     _LOGS,
     _LIMITS,
 )
-#: The sections of a caller's file.
+#: The sections of a caller's settings file.
 CLIENT_TABLES: Final = (_CLIENT, _NODES)
--- a/src/lovageshunt/settings/_kinds.py
+++ b/src/lovageshunt/settings/_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of values that a key may have, and how each is read."""
+"""The kinds of values that a key may have, each with its parser."""
 
 from collections.abc import Callable
 from functools import partial
@@ -11,141 +11,140 @@
 
 
 class Address(Record):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     __slots__ = ('host', 'port')
 
     def __init__(self, *, host: str, port: int) -> None:
-        """Take both parts."""
         self.host = host
         self.port = port
 
     def __str__(self) -> str:
-        """Write the address as settings do."""
+        """Format as ``IP:PORT``, with brackets around an IPv6 address."""
         if ':' in self.host:
             return f'[{self.host}]:{self.port}'
         return f'{self.host}:{self.port}'
 
     @property
     def is_loopback(self) -> bool:
-        """Say whether only this VM reaches the address."""
+        """Whether only processes on this VM can reach the address."""
         return ip_address(self.host).is_loopback
 
 
 class ValueKind(Record):
-    """A kind of value: its name, what is expected, and its reader.
+    """A kind of value: its name, its description and its parser.
 
-    ``read`` takes the text and raises ``ValueError`` on anything else.
+    ``expected`` completes an error message. ``parse`` raises ``ValueError``
+    for text that is not of this kind.
     """
 
-    __slots__ = ('name', 'expected', 'read')
+    __slots__ = ('name', 'expected', 'parse')
 
     def __init__(
         self,
         *,
         name: str,
         expected: str,
-        read: Callable[[str], Any],
+        parse: Callable[[str], Any],
     ) -> None:
-        """Take the three parts."""
         self.name = name
         self.expected = expected
-        self.read = read
+        self.parse = parse
 
 
-def read_address(text: str) -> Address:
-    """Return the address in ``IP:PORT``."""
+def parse_address(text: str) -> Address:
+    """Parse ``IP:PORT``; raises ``ValueError`` on anything else."""
     host, _, port = text.rpartition(':')
     host = host.removeprefix('[').removesuffix(']')
     ip_address(host)
-    number = int(port)
-    if not 0 < number <= _MAX_PORT:
-        raise ValueError('the port is out of range')
-    return Address(host=host, port=number)
+    port_number = int(port)
+    if not 0 < port_number <= _MAX_PORT:
+        raise ValueError(f'port {port_number} is not from 1 to {_MAX_PORT}')
+    return Address(host=host, port=port_number)
 
 
-def read_addresses(text: str) -> tuple[Address, ...]:
-    """Return the addresses in a list with commas."""
-    return tuple(read_address(part) for part in read_names(text))
+def parse_addresses(text: str) -> tuple[Address, ...]:
+    """Parse a comma-separated list; raises ``ValueError`` like one address."""
+    return tuple(parse_address(part) for part in parse_names(text))
 
 
-def read_names(text: str) -> tuple[str, ...]:
-    """Return the names in a list with commas or line ends."""
+def parse_names(text: str) -> tuple[str, ...]:
+    """Split text at commas and line ends; empty items are skipped."""
     parts = text.replace('\n', ',').split(',')
     return tuple(part.strip() for part in parts if part.strip())
 
 
-def whole_number(low: int, high: int) -> ValueKind:
-    """Return the kind of whole numbers within two bounds."""
+def bounded_int(minimum: int, maximum: int) -> ValueKind:
+    """Create a kind of integers; both bounds are allowed values."""
     return ValueKind(
         name='whole number',
-        expected=f'a whole number from {low} to {high}',
-        read=partial(_read_whole, low=low, high=high),
+        expected=f'a whole number from {minimum} to {maximum}',
+        parse=partial(_parse_int, minimum=minimum, maximum=maximum),
     )
 
 
-def number(low: float, high: float) -> ValueKind:
-    """Return the kind of numbers within two bounds."""
+def bounded_float(minimum: float, maximum: float) -> ValueKind:
+    """Create a kind of numbers; both bounds are allowed values."""
     return ValueKind(
         name='number',
-        expected=f'a number from {low:g} to {high:g}',
-        read=partial(_read_number, low=low, high=high),
+        expected=f'a number from {minimum:g} to {maximum:g}',
+        parse=partial(_parse_float, minimum=minimum, maximum=maximum),
     )
 
 
 def one_of(*choices: str) -> ValueKind:
-    """Return the kind of words out of a few."""
+    """Create a kind that accepts only these words."""
     return ValueKind(
         name='word',
         expected=f'one of {", ".join(choices)}',
-        read=partial(_read_choice, choices=choices),
+        parse=partial(_parse_choice, choices=choices),
     )
 
 
-def _read_whole(text: str, *, low: int, high: int) -> int:
-    reading = int(text)
-    if not low <= reading <= high:
-        raise ValueError('out of range')
-    return reading
+def _parse_int(text: str, *, minimum: int, maximum: int) -> int:
+    parsed = int(text)
+    if not minimum <= parsed <= maximum:
+        raise ValueError(f'{parsed} is not from {minimum} to {maximum}')
+    return parsed
 
 
-def _read_number(text: str, *, low: float, high: float) -> float:
-    reading = float(text)
-    if not low <= reading <= high:
-        raise ValueError('out of range')
-    return reading
+def _parse_float(text: str, *, minimum: float, maximum: float) -> float:
+    parsed = float(text)
+    if not minimum <= parsed <= maximum:
+        raise ValueError(f'{parsed} is not from {minimum} to {maximum}')
+    return parsed
 
 
-def _read_choice(text: str, *, choices: tuple[str, ...]) -> str:
+def _parse_choice(text: str, *, choices: tuple[str, ...]) -> str:
     if text not in choices:
-        raise ValueError('unknown word')
+        raise ValueError(f'{text!r} is not one of {choices}')
     return text
 
 
-def _read_path(text: str) -> str:
+def _parse_path(text: str) -> str:
     if not text.startswith('/'):
-        raise ValueError('no path')
+        raise ValueError(f'{text!r} does not start with a slash')
     return text
 
 
-TEXT: Final = ValueKind(name='text', expected='some text', read=str)
+TEXT: Final = ValueKind(name='text', expected='some text', parse=str)
 ADDRESS: Final = ValueKind(
     name='address',
     expected='IP:PORT, such as 10.0.0.7:8080',
-    read=read_address,
+    parse=parse_address,
 )
 ADDRESSES: Final = ValueKind(
     name='addresses',
     expected='IP:PORT, more of them after commas',
-    read=read_addresses,
+    parse=parse_addresses,
 )
 NAMES: Final = ValueKind(
     name='names',
     expected='names with commas between',
-    read=read_names,
+    parse=parse_names,
 )
 URL_PATH: Final = ValueKind(
     name='path',
     expected='a path that starts with a slash',
-    read=_read_path,
+    parse=_parse_path,
 )
--- a/src/lovageshunt/settings/_load.py
+++ b/src/lovageshunt/settings/_load.py
@@ -30,13 +30,13 @@
 def load_node_settings(
     path: Path | str,
 ) -> Result[NodeSettings, list[SettingsFault]]:
-    """Return a node's settings, or everything that is wrong with them."""
+    """Return a node's settings, or every fault of the file."""
     reader = SettingsReader(Path(path))
     by_section = reader.read(NODE_TABLES)
     if by_section:
         _check_admin(reader, by_section)
         _check_tls(reader, by_section['security'])
-        _check_listen(reader, by_section)
+        _check_distinct_addresses(reader, by_section)
         _check_egress(reader, by_section['listen'])
     if reader.faults:
         return Error(reader.faults)
@@ -59,7 +59,7 @@
 def load_client_settings(
     path: Path | str,
 ) -> Result[ClientSettings, list[SettingsFault]]:
-    """Return a caller's settings, or everything that is wrong with them."""
+    """Return a caller's settings, or every fault of the file."""
     reader = SettingsReader(Path(path))
     by_section = reader.read(CLIENT_TABLES)
     if reader.faults:
@@ -80,7 +80,7 @@
     if admin is None or admin.is_loopback:
         return
     if by_section['security']['admin_token_file'] is None:
-        reader.add(
+        reader.add_fault(
             section='listen',
             key='admin',
             value=str(admin),
@@ -93,11 +93,11 @@
     egress = listen['egress']
     if egress is None or egress.is_loopback:
         return
-    reader.add(
+    reader.add_fault(
         section='listen',
         key='egress',
         value=str(egress),
-        expected='a loopback address, as only the target beside uses it',
+        expected='a loopback address, because only the local target uses it',
         remedy='listen on 127.0.0.1',
     )
 
@@ -107,7 +107,7 @@
     given = [name for name in names if security[name] is not None]
     if len(given) in {0, len(names)}:
         return
-    reader.add(
+    reader.add_fault(
         section='security',
         key=given[0],
         value=security[given[0]],
@@ -116,7 +116,7 @@
     )
 
 
-def _check_listen(
+def _check_distinct_addresses(
     reader: SettingsReader,
     by_section: dict[str, dict[str, Any]],
 ) -> None:
@@ -130,10 +130,10 @@
             continue
         other = key_by_address.setdefault(str(address), key)
         if other != key:
-            reader.add(
+            reader.add_fault(
                 section='listen',
                 key=key,
                 value=str(address),
-                expected=f'another address than that of {other}',
+                expected=f'an address that differs from that of {other}',
                 remedy='give each its own port',
             )
--- a/src/lovageshunt/settings/_reader.py
+++ b/src/lovageshunt/settings/_reader.py
@@ -1,4 +1,4 @@
-"""Reads an INI file against a table of keys, collecting every fault."""
+"""Reads an INI file against a table of keys and collects every fault."""
 
 from collections.abc import Collection
 from configparser import (
@@ -16,12 +16,19 @@
 
 
 class SettingsReader:
-    """Reads one file; ``faults`` holds everything that is wrong with it."""
+    """Reads and validates one file.
+
+    ``faults`` holds every fault found so far; ``read`` adds to it.
+    """
 
     __slots__ = ('faults', '_path', '_parser')
 
     def __init__(self, path: Path) -> None:
-        """Parse the file, leniently where a fault can be kept and passed."""
+        """Parse the file.
+
+        A duplicate section or key is reported as a fault and parsing goes on,
+        so that one run reports as many faults as possible.
+        """
         self.faults: list[SettingsFault] = []
         self._path = str(path)
         self._parser = ConfigParser(interpolation=None, strict=False)
@@ -31,13 +38,16 @@
         self,
         tables: tuple[SectionTable, ...],
     ) -> dict[str, dict[str, Any]]:
-        """Return the values by section and key; see ``faults`` after it."""
+        """Return the values by section and key, empty if nothing was parsed.
+
+        A value with a fault is ``None``, so check ``faults`` before use.
+        """
         if self.faults and not self._parser.sections():
             return {}
         self._check_sections({table.name for table in tables})
         return {table.name: self._read_section(table) for table in tables}
 
-    def add(
+    def add_fault(
         self,
         *,
         section: str,
@@ -46,7 +56,6 @@
         expected: str,
         remedy: str,
     ) -> None:
-        """Keep a fault of this file."""
         fault = SettingsFault(
             path=self._path,
             section=section,
@@ -61,27 +70,29 @@
         try:
             text = path.read_text(encoding='utf-8-sig')
         except (OSError, UnicodeDecodeError) as error:
-            self._add_whole(str(error), 'a file in UTF-8 that can be read')
+            self._add_file_fault(str(error), 'a readable UTF-8 file')
             return
         self._find_duplicates(text)
         try:
             self._parser.read_string(text)
         except IniError as error:
-            self._add_whole(error.message, 'sections and "key = value" lines')
+            self._add_file_fault(
+                error.message, 'sections and "key = value" lines'
+            )
 
     def _find_duplicates(self, text: str) -> None:
         try:
             ConfigParser(interpolation=None).read_string(text)
         except DuplicateSectionError as repeated:
-            self.add(
+            self.add_fault(
                 section=repeated.section,
                 key='',
                 value=repeated.section,
                 expected='each section once',
-                remedy=f'join it with the other one, line {repeated.lineno}',
+                remedy=f'merge it with the other one, line {repeated.lineno}',
             )
         except DuplicateOptionError as repeated:
-            self.add(
+            self.add_fault(
                 section=repeated.section,
                 key=repeated.option,
                 value=repeated.option,
@@ -91,8 +102,8 @@
         except IniError:
             return
 
-    def _add_whole(self, value: str, expected: str) -> None:
-        self.add(
+    def _add_file_fault(self, value: str, expected: str) -> None:
+        self.add_fault(
             section='',
             key='',
             value=value,
@@ -103,12 +114,12 @@
     def _check_sections(self, known: Collection[str]) -> None:
         for section in self._parser.sections():
             if section not in known:
-                self.add(
+                self.add_fault(
                     section=section,
                     key='',
                     value=section,
                     expected='a known section',
-                    remedy=_near(section, known),
+                    remedy=_suggest_name(section, known),
                 )
 
     def _read_section(self, table: SectionTable) -> dict[str, Any]:
@@ -117,12 +128,12 @@
             given.update(self._parser.items(table.name))
         known = [key.name for key in table.keys]
         for name in given.keys() - set(known):
-            self.add(
+            self.add_fault(
                 section=table.name,
                 key=name,
                 value=given[name],
                 expected='a known key',
-                remedy=_near(name, known),
+                remedy=_suggest_name(name, known),
             )
         return {
             key.name: self._read_key(table.name, key, given.get(key.name, ''))
@@ -134,22 +145,22 @@
         if text == ABSENT:
             return None
         if text == REQUIRED:
-            self._add_key(section, key, '', 'add the key')
+            self._add_key_fault(section, key, '', 'add the key')
             return None
         try:
-            return key.kind.read(text)
+            return key.kind.parse(text)
         except ValueError:
-            self._add_key(section, key, text, 'correct the value')
+            self._add_key_fault(section, key, text, 'correct the value')
             return None
 
-    def _add_key(
+    def _add_key_fault(
         self,
         section: str,
         key: Key,
         value: str,
         remedy: str,
     ) -> None:
-        self.add(
+        self.add_fault(
             section=section,
             key=key.name,
             value=value,
@@ -158,8 +169,8 @@
         )
 
 
-def _near(name: str, known: Collection[str]) -> str:
+def _suggest_name(name: str, known: Collection[str]) -> str:
     matches = get_close_matches(name, known, n=1)
     if matches:
         return f'did you mean {matches[0]!r}?'
-    return f'remove it; known are {", ".join(sorted(known))}'
+    return f'remove it; the known names are {", ".join(sorted(known))}'
--- a/src/lovageshunt/settings/_sections.py
+++ b/src/lovageshunt/settings/_sections.py
@@ -1,11 +1,11 @@
-"""The settings as typed records, one for each section."""
+"""Settings of nodes and callers as typed records, one per section."""
 
 from lovageshunt._record import Record
 from lovageshunt.settings._kinds import Address
 
 
 class NodeSection(Record):
-    """Who this node is."""
+    """The identity of a node: its VM, service and location."""
 
     __slots__ = ('name', 'service', 'failure_domain', 'region')
 
@@ -17,7 +17,6 @@
         failure_domain: str,
         region: str,
     ) -> None:
-        """Take every key."""
         self.name = name
         self.service = service
         self.failure_domain = failure_domain
@@ -25,7 +24,12 @@
 
 
 class ListenSection(Record):
-    """Where this node listens."""
+    """The addresses that a node listens on.
+
+    ``ingress`` gets calls to the target, ``admin`` the admin API and the
+    exchange with other nodes, ``egress`` calls of a target that does not use
+    the client library.
+    """
 
     __slots__ = ('ingress', 'admin', 'egress')
 
@@ -36,14 +40,17 @@
         admin: Address,
         egress: Address | None,
     ) -> None:
-        """Take every key."""
         self.ingress = ingress
         self.admin = admin
         self.egress = egress
 
 
 class TargetSection(Record):
-    """The target beside this node."""
+    """The target on the node's VM.
+
+    ``slots`` is the number of calls that it can run concurrently,
+    ``connections`` the number of connections that it accepts.
+    """
 
     __slots__ = ('address', 'slots', 'connections', 'health_path', 'load_path')
 
@@ -56,7 +63,6 @@
         health_path: str,
         load_path: str,
     ) -> None:
-        """Take every key."""
         self.address = address
         self.slots = slots
         self.connections = connections
@@ -65,7 +71,7 @@
 
 
 class PlatformSection(Record):
-    """What the platform publishes, and how often it is read."""
+    """The configuration service, and how often and by how many it is read."""
 
     __slots__ = ('addresses', 'poll_seconds', 'readers_per_failure_domain')
 
@@ -76,35 +82,40 @@
         poll_seconds: float,
         readers_per_failure_domain: int,
     ) -> None:
-        """Take every key."""
         self.addresses = addresses
         self.poll_seconds = poll_seconds
         self.readers_per_failure_domain = readers_per_failure_domain
 
 
 class CallsSection(Record):
-    """What the target calls."""
+    """The services that the target calls."""
 
     __slots__ = ('services',)
 
     def __init__(self, *, services: tuple[str, ...]) -> None:
-        """Take every key."""
         self.services = services
 
 
 class AdmissionSection(Record):
-    """How calls wait for the target."""
+    """Admission of calls to the target.
+
+    Calls are refused by level while the queue wait exceeds
+    ``queue_target_ms``; limit and threshold are corrected every
+    ``interval_ms``. Both are in milliseconds.
+    """
 
     __slots__ = ('queue_target_ms', 'interval_ms')
 
     def __init__(self, *, queue_target_ms: float, interval_ms: float) -> None:
-        """Take every key."""
         self.queue_target_ms = queue_target_ms
         self.interval_ms = interval_ms
 
 
 class SecuritySection(Record):
-    """Who may use the admin API, and TLS for it and between nodes."""
+    """Paths of the files with tokens, keys and certificates.
+
+    The three files for TLS are all given or all ``None``.
+    """
 
     __slots__ = (
         'admin_token_file',
@@ -123,7 +134,6 @@
         authority_file: str | None,
         context_key_file: str | None,
     ) -> None:
-        """Take every key."""
         self.admin_token_file = admin_token_file
         self.certificate_file = certificate_file
         self.key_file = key_file
@@ -132,28 +142,30 @@
 
 
 class TracesSection(Record):
-    """Spans; refused, unknown and slow calls are always kept."""
+    """Sampling of traces.
+
+    ``sample_ratio`` is a share from 0 to 1 of the root requests; refused,
+    unknown and slow calls are always kept.
+    """
 
     __slots__ = ('sample_ratio',)
 
     def __init__(self, *, sample_ratio: float) -> None:
-        """Take every key."""
         self.sample_ratio = sample_ratio
 
 
 class LogsSection(Record):
-    """Log lines in JSON."""
+    """The minimum level of log lines, and their maximum rate."""
 
     __slots__ = ('level', 'records_per_second')
 
     def __init__(self, *, level: str, records_per_second: float) -> None:
-        """Take every key."""
         self.level = level
         self.records_per_second = records_per_second
 
 
 class LimitsSection(Record):
-    """Bounds on memory and on time."""
+    """Bounds on memory (calls, bytes) and on time (seconds)."""
 
     __slots__ = (
         'table_entries',
@@ -176,7 +188,6 @@
         leave_seconds: float,
         drain_seconds: float,
     ) -> None:
-        """Take every key."""
         self.table_entries = table_entries
         self.body_bytes = body_bytes
         self.retention_seconds = retention_seconds
@@ -187,7 +198,7 @@
 
 
 class NodeSettings(Record):
-    """A node's whole settings."""
+    """All settings of a node, by section."""
 
     __slots__ = (
         'node',
@@ -216,7 +227,6 @@
         logs: LogsSection,
         limits: LimitsSection,
     ) -> None:
-        """Take every section."""
         self.node = node
         self.listen = listen
         self.target = target
@@ -230,19 +240,21 @@
 
 
 class ClientSection(Record):
-    """Who this caller is."""
+    """The identity of a caller: its name in the rules and its location."""
 
     __slots__ = ('name', 'failure_domain', 'region')
 
     def __init__(self, *, name: str, failure_domain: str, region: str) -> None:
-        """Take every key."""
         self.name = name
         self.failure_domain = failure_domain
         self.region = region
 
 
 class NodesSection(Record):
-    """How this caller finds nodes."""
+    """The services that a caller calls, and how it discovers their nodes.
+
+    ``seeds`` are admin addresses of some nodes, which report the others.
+    """
 
     __slots__ = ('seeds', 'services')
 
@@ -252,17 +264,15 @@
         seeds: tuple[Address, ...],
         services: tuple[str, ...],
     ) -> None:
-        """Take every key."""
         self.seeds = seeds
         self.services = services
 
 
 class ClientSettings(Record):
-    """A caller's whole settings."""
+    """All settings of a caller, by section."""
 
     __slots__ = ('client', 'nodes')
 
     def __init__(self, *, client: ClientSection, nodes: NodesSection) -> None:
-        """Take every section."""
         self.client = client
         self.nodes = nodes
--- a/src/lovageshunt/settings/_sidecar.py
+++ b/src/lovageshunt/settings/_sidecar.py
@@ -1,4 +1,4 @@
-"""The settings of a sidecar as typed records, and how they are loaded."""
+"""Settings of a sidecar as typed records, and their loader."""
 
 from pathlib import Path
 
@@ -13,7 +13,10 @@
 
 
 class SidecarListenSection(Record):
-    """Where a sidecar listens."""
+    """The addresses that a sidecar listens on.
+
+    ``metrics_port`` is ``None`` if no metrics are served.
+    """
 
     __slots__ = ('clients', 'nodes', 'ready', 'metrics_port')
 
@@ -25,7 +28,6 @@
         ready: Address,
         metrics_port: int | None,
     ) -> None:
-        """Take every key."""
         self.clients = clients
         self.nodes = nodes
         self.ready = ready
@@ -33,28 +35,34 @@
 
 
 class SidecarTargetSection(Record):
-    """The target beside a sidecar."""
+    """The target on the sidecar's VM.
+
+    ``slots`` is the number of calls that it can run concurrently; it applies
+    until the target or the published list reports another number.
+    """
 
     __slots__ = ('address', 'slots')
 
     def __init__(self, *, address: Address, slots: int) -> None:
-        """Take every key."""
         self.address = address
         self.slots = slots
 
 
 class StoreSection(Record):
-    """The platform's store."""
+    """The store of the platform, which holds targets and configurations."""
 
     __slots__ = ('address',)
 
     def __init__(self, *, address: Address) -> None:
-        """Take every key."""
         self.address = address
 
 
 class BoundsSection(Record):
-    """What operators are promised."""
+    """Limits that are guaranteed to operators.
+
+    In each window the fleet may send ``retry_ratio`` retries per request and
+    ``retry_reserve`` retries on top.
+    """
 
     __slots__ = (
         'stop_seconds',
@@ -71,7 +79,6 @@
         retry_reserve: int,
         retry_window_seconds: float,
     ) -> None:
-        """Take every key."""
         self.stop_seconds = stop_seconds
         self.retry_ratio = retry_ratio
         self.retry_reserve = retry_reserve
@@ -79,7 +86,7 @@
 
 
 class SidecarSettings(Record):
-    """Everything that a sidecar is told when it starts."""
+    """All settings of a sidecar, by section."""
 
     __slots__ = ('node', 'listen', 'target', 'platform', 'bounds', 'logs')
 
@@ -93,7 +100,6 @@
         bounds: BoundsSection,
         logs: LogsSection,
     ) -> None:
-        """Take every section."""
         self.node = node
         self.listen = listen
         self.target = target
@@ -105,7 +111,7 @@
 def load_sidecar_settings(
     path: Path | str,
 ) -> Result[SidecarSettings, list[SettingsFault]]:
-    """Return a sidecar's settings, or everything that is wrong with them."""
+    """Return a sidecar's settings, or every fault of the file."""
     reader = SettingsReader(Path(path))
     by_section = reader.read(SIDECAR_TABLES)
     if reader.faults:
--- a/src/lovageshunt/settings/_sidecar_keys.py
+++ b/src/lovageshunt/settings/_sidecar_keys.py
@@ -1,4 +1,4 @@
-"""The table of every section and key of a sidecar's settings."""
+"""Sections and keys of the settings of a sidecar."""
 
 from typing import Final
 
@@ -9,17 +9,22 @@
     Key,
     SectionTable,
 )
-from lovageshunt.settings._kinds import ADDRESS, TEXT, number, one_of
-from lovageshunt.settings._kinds import whole_number as whole
+from lovageshunt.settings._kinds import (
+    ADDRESS,
+    TEXT,
+    bounded_float,
+    bounded_int,
+    one_of,
+)
 
-_MOST_COUNT: Final = 1_000_000
-_MOST_SECONDS: Final = 3600.0
+_MAX_COUNT: Final = 1_000_000
+_MAX_SECONDS: Final = 3600.0
 
-#: The settings of a sidecar.
+#: The sections of a sidecar's settings file.
 SIDECAR_TABLES: Final = (
     SectionTable(
         name='node',
-        meaning='Who this node is.',
+        meaning='The identity of this node.',
         keys=(
             Key(name='name', kind=TEXT, meaning='The name of its VM.'),
             Key(name='service', kind=TEXT, meaning="Its target's service."),
@@ -37,10 +42,10 @@
                 meaning='Requests of clients, and calls of the target.',
             ),
             Key(name='nodes', kind=ADDRESS, meaning='Links from nodes.'),
-            Key(name='ready', kind=ADDRESS, meaning='Whether it is ready.'),
+            Key(name='ready', kind=ADDRESS, meaning='The readiness endpoint.'),
             Key(
                 name='metrics_port',
-                kind=whole(1, 65535),
+                kind=bounded_int(1, 65535),
                 default=ABSENT,
                 meaning='Metrics as text, at the address of the links.',
             ),
@@ -48,15 +53,15 @@
     ),
     SectionTable(
         name='target',
-        meaning='The target beside this node.',
+        meaning='The target on the VM of this node.',
         keys=(
             Key(name='address', kind=ADDRESS, meaning='Where it listens.'),
             Key(
                 name='slots',
-                kind=whole(1, _MOST_COUNT),
+                kind=bounded_int(1, _MAX_COUNT),
                 default='16',
                 unit='calls',
-                meaning='Its slots, until it or the list tells them.',
+                meaning='Its slots, until it or the list reports them.',
             ),
         ),
     ),
@@ -67,35 +72,35 @@
     ),
     SectionTable(
         name='bounds',
-        meaning='What operators are promised.',
+        meaning='Limits that are guaranteed to operators.',
         keys=(
             Key(
                 name='stop_seconds',
-                kind=number(0.5, _MOST_SECONDS),
+                kind=bounded_float(0.5, _MAX_SECONDS),
                 default='6',
                 unit='seconds',
-                meaning='A planned stop is over after so long.',
+                meaning='The maximum duration of a planned stop.',
             ),
             Key(
                 name='retry_ratio',
-                kind=number(0, 1),
+                kind=bounded_float(0, 1),
                 default='0.2',
                 unit='retries a request',
-                meaning='Retries that the fleet may send, by its requests.',
+                meaning='Retries that the fleet may send per request.',
             ),
             Key(
                 name='retry_reserve',
-                kind=whole(0, _MOST_COUNT),
+                kind=bounded_int(0, _MAX_COUNT),
                 default='0',
                 unit='retries',
                 meaning='Retries in a window on top of the ratio.',
             ),
             Key(
                 name='retry_window_seconds',
-                kind=number(0.1, _MOST_SECONDS),
+                kind=bounded_float(0.1, _MAX_SECONDS),
                 default='10',
                 unit='seconds',
-                meaning='The window of both.',
+                meaning='The window of the ratio and the reserve.',
             ),
         ),
     ),
@@ -107,14 +112,17 @@
                 name='level',
                 kind=one_of('debug', 'info', 'warning', 'error'),
                 default='info',
-                meaning='The least level that is written.',
+                meaning='The minimum level that is written.',
             ),
             Key(
                 name='records_per_second',
-                kind=whole(1, _MOST_COUNT),
+                kind=bounded_int(1, _MAX_COUNT),
                 default='50',
                 unit='records',
-                meaning='More are held back and counted; errors as many again.',
+                meaning=(
+                    'The number per second above which records are dropped '
+                    'and counted; errors have a limit of their own, as high.'
+                ),
             ),
         ),
     ),
--- a/src/lovageshunt/sidecar/_metrics.py
+++ b/src/lovageshunt/sidecar/_metrics.py
@@ -18,7 +18,7 @@
             'lovageshunt_request_seconds',
         )
         self._run_seconds = self._registry.buckets('lovageshunt_run_seconds')
-        self._abandoned = self._registry.cell('lovageshunt_abandoned_total')
+        self._abandoned = self._registry.series('lovageshunt_abandoned_total')
 
     def count_response(
         self,
@@ -28,7 +28,7 @@
     ) -> None:
         """Count a response; a target's own response has no reason."""
         name = 'lovageshunt_requests_total'
-        self._registry.cell(name, str(status), reason).value += 1
+        self._registry.series(name, str(status), reason).value += 1
         self._request_seconds.observe(seconds)
 
     def count_abandoned(self) -> None:
@@ -38,7 +38,7 @@
     def count_retry(self, reason: RefusalReason | None) -> None:
         """Count a request that is sent to another target."""
         name = 'lovageshunt_retries_total'
-        self._registry.cell(name, reason or _NO_REASON).value += 1
+        self._registry.series(name, reason or _NO_REASON).value += 1
 
     def count_run(
         self,
@@ -48,7 +48,7 @@
     ) -> None:
         """Count an order that ended ``seconds`` after its arrival."""
         name = 'lovageshunt_runs_total'
-        self._registry.cell(name, outcome, reason or _NO_REASON).value += 1
+        self._registry.series(name, outcome, reason or _NO_REASON).value += 1
         self._run_seconds.observe(seconds)
 
     def set_gauges(
@@ -62,19 +62,19 @@
     ) -> None:
         """Set the gauges to the present values."""
         calls = 'lovageshunt_target_calls'
-        self._registry.cell(calls, 'running').value = load.running
-        self._registry.cell(calls, 'waiting').value = load.waiting
+        self._registry.series(calls, 'running').value = load.running
+        self._registry.series(calls, 'waiting').value = load.waiting
         for name, number in (
             ('lovageshunt_demand_share', share),
             ('lovageshunt_target_accepted_share', accepted),
             ('lovageshunt_configuration_version', version),
             ('lovageshunt_platform_away', float(is_platform_unreachable)),
         ):
-            self._registry.cell(name).value = number
+            self._registry.series(name).value = number
 
     def set_suppressed(self, count: int) -> None:
         """Set the number of log records that the rate limit suppressed."""
-        self._registry.cell('lovageshunt_logs_suppressed_total').value = count
+        self._registry.series('lovageshunt_logs_suppressed_total').value = count
 
     def render(self) -> tuple[bytes, dict[str, str]]:
         """Return the exposition text and its header fields."""
--- a/tests/cli/test_trace.py
+++ b/tests/cli/test_trace.py
@@ -19,8 +19,8 @@
 
     def test_tree_is_joined_across_nodes(self, capsys):
         """Spans of two nodes are printed as one tree."""
-        above = Traces(node='n1', share=1.0, slow_seconds=9)
-        below = Traces(node='n2', share=1.0, slow_seconds=9)
+        above = Traces(node='n1', sampling_ratio=1.0, slow_seconds=9)
+        below = Traces(node='n2', sampling_ratio=1.0, slow_seconds=9)
         parent = above.start('balances', request_id='r')
         child = below.start(
             'records',
--- a/tests/observability/test_logs.py
+++ b/tests/observability/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs."""
+"""Format and rate limit of log lines."""
 
 import io
 import logging
@@ -7,12 +7,12 @@
 import orjson
 import pytest
 
-from lovageshunt.observability import RateLimit, configure_logs, log_scope
+from lovageshunt.observability import LogRateLimit, configure_logs, log_scope
 
 
 @pytest.fixture
 def stream():
-    """A stream that takes the logs, until the test is over."""
+    """Yield a stream for logs; restore the root logger afterwards."""
     root = logging.getLogger()
     handlers, level = list(root.handlers), root.level
     yield io.StringIO()
@@ -20,15 +20,15 @@
 
 
 def record_of(level=logging.INFO):
-    """Return a log record of that level."""
+    """Return a log record of a level."""
     return logging.LogRecord('test', level, '', 1, 'text', (), None)
 
 
 class TestConfigureLogs:
-    """The form of a line."""
+    """The format of log lines."""
 
-    def test_line_carries_the_ids(self, stream):
-        """Each line is JSON with the ids of its request and trace."""
+    def test_line_has_the_ids(self, stream):
+        """A line is a JSON object with the ids of request and trace."""
         configure_logs('INFO', 100, stream)
 
         with log_scope('r1', 't1'):
@@ -40,8 +40,8 @@
         assert line['reason'] == 'overload'
         assert line['message'] == 'refused'
 
-    def test_server_is_quiet(self, stream):
-        """Of the server's own lines only warnings and worse are written."""
+    def test_server_info_is_not_written(self, stream):
+        """The HTTP server's records below WARNING are not written."""
         configure_logs('INFO', 100, stream)
         server = logging.getLogger('uvicorn.error')
 
@@ -50,7 +50,7 @@
         server.warning('Invalid HTTP request received.')
         assert orjson.loads(stream.getvalue())['levelname'] == 'WARNING'
 
-    def test_level_is_kept(self, stream):
+    def test_level_is_applied(self, stream):
         """Records below the level are not written."""
         configure_logs('WARNING', 100, stream)
 
@@ -60,12 +60,12 @@
 
 
 class TestRateLimit:
-    """The limit under overload."""
+    """Dropping and counting of records."""
 
-    def test_what_is_held_back_is_counted(self):
-        """The next second's first record says how many were held back."""
+    def test_dropped_records_are_counted(self):
+        """The first record of the next second has the number dropped."""
         now = [0]
-        limit = RateLimit(2, clock=lambda: now[0])
+        limit = LogRateLimit(2, clock=lambda: now[0])
         passed = [limit.filter(record_of()) for _ in range(5)]
         now[0] = 1.0
         later = record_of()
@@ -75,9 +75,9 @@
         assert later.suppressed == 3
         assert limit.suppressed_total == 3
 
-    def test_errors_have_their_own_room(self):
-        """An error passes when other records have used up the second."""
-        limit = RateLimit(1, clock=partial(float, 5))
+    def test_errors_have_their_own_limit(self):
+        """An error passes when other records have used up their limit."""
+        limit = LogRateLimit(1, clock=partial(float, 5))
         limit.filter(record_of())
         limit.filter(record_of())
 
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics."""
+"""Counting and exporting of metrics."""
 
 import pytest
 
@@ -8,15 +8,15 @@
 
 
 def lines_of(metrics):
-    """Return the lines of the exposition."""
+    """Render metrics and split the exposition into lines."""
     return metrics.render()[0].decode().splitlines()
 
 
 class TestMetrics:
-    """Counting and exporting."""
+    """The exposition of counters, gauges and histograms."""
 
     def test_account_is_exported(self):
-        """Refusals are exposed by service, kind, importance and reason."""
+        """Refused calls have service, kind, importance and reason."""
         account = Account('n1', 'a', 0)
         call = ('balances', 'lookup', 1)
         account.arrived(*call)
@@ -32,7 +32,7 @@
         )
         assert expected in lines_of(metrics)
 
-    def test_buckets_hold_all_below(self):
+    def test_buckets_are_cumulative(self):
         """A bucket counts every observation up to its bound."""
         metrics = Metrics('n1')
         buckets = metrics.buckets('lovageshunt_queue_seconds', 'balances')
@@ -51,15 +51,15 @@
         assert shown['+Inf'] == 4
 
     def test_second_scrape_does_not_count_twice(self):
-        """Counters are set at a scrape, not added to."""
+        """A scrape sets the counters of the library, not adds to them."""
         metrics = Metrics('n1')
-        metrics.cell('lovageshunt_pauses_total').value += 2
+        metrics.series('lovageshunt_pauses_total').value += 2
         metrics.render()
 
         assert 'lovageshunt_pauses_total{node="n1"} 2' in lines_of(metrics)
 
     def test_kind_cannot_forge_a_line(self):
-        """Quotes and line ends in a caller's kind are escaped."""
+        """Quotes and line ends in a kind, which callers choose, are escaped."""
         account = Account('n1', 'a', 0)
         account.arrived('balances', 'x"} 1\nforged 9', 1)
         metrics = Metrics('n1')
@@ -71,12 +71,12 @@
         )
 
     def test_wrong_labels_are_refused(self):
-        """A cell with too few labels is a programming error."""
+        """A series with too few label values is a programming error."""
         with pytest.raises(ValueError, match='service'):
-            Metrics('n1').cell('lovageshunt_concurrency_limit')
+            Metrics('n1').series('lovageshunt_concurrency_limit')
 
     @pytest.mark.parametrize('spec', METRIC_SPECS, ids=lambda spec: spec.name)
     def test_every_metric_has_an_alert(self, spec):
-        """Each metric says what it means and when to look."""
+        """Each metric has a help text and an alert condition."""
         assert spec.meaning
         assert spec.alert
--- a/tests/observability/test_traces.py
+++ b/tests/observability/test_traces.py
@@ -1,4 +1,4 @@
-"""Spans of hops."""
+"""Starting, ending and storing the spans of hops."""
 
 import pytest
 from opentelemetry.sdk.trace.id_generator import RandomIdGenerator
@@ -13,7 +13,7 @@
 
 
 class Clock:
-    """A clock in nanoseconds that a test moves."""
+    """A clock in nanoseconds that a test advances."""
 
     def __init__(self):
         self.now_ns = 1_000_000_000
@@ -24,15 +24,15 @@
 
 @pytest.fixture
 def clock():
-    """A clock that stands at one second."""
+    """Return a clock that is at 1 s."""
     return Clock()
 
 
-def traces_of(clock, share=0, capacity=10):
-    """Return traces in which half a second is slow."""
+def traces_of(clock, sampling_ratio=0, capacity=10):
+    """Return traces in which calls are slow from 0.5 s on."""
     return Traces(
         node='n1',
-        share=share,
+        sampling_ratio=sampling_ratio,
         slow_seconds=0.5,
         capacity=capacity,
         clock_ns=clock,
@@ -41,10 +41,10 @@
 
 
 class TestTraces:
-    """Beginning, ending and keeping."""
+    """Which spans are stored, with which ids."""
 
-    def test_span_joins_the_caller_s_trace(self, clock):
-        """The trace id is the caller's and the parent is its span."""
+    def test_span_joins_the_trace_of_the_caller(self, clock):
+        """The span has the caller's trace id, and its span as parent."""
         traces = traces_of(clock)
 
         span = traces.start('ingress', trace_parent=PARENT)
@@ -55,8 +55,8 @@
         assert kept.span_id == span.trace_parent.split('-')[2]
 
     def test_next_hop_is_a_child(self, clock):
-        """The header handed on makes the next hop's span a child."""
-        traces = traces_of(clock, share=1.0)
+        """The header sent on makes the span of the next hop a child."""
+        traces = traces_of(clock, sampling_ratio=1.0)
 
         first = traces.start('ingress', request_id='r')
         second = traces.start('egress', trace_parent=first.trace_parent)
@@ -65,8 +65,8 @@
         assert second.trace_id == first.trace_id
 
     @pytest.mark.parametrize('header', ['', 'junk', '00-0-0-01'])
-    def test_bad_header_begins_a_trace(self, clock, header):
-        """A header that is none is as good as no header."""
+    def test_malformed_header_starts_a_trace(self, clock, header):
+        """A malformed header is treated like a missing one."""
         span = traces_of(clock).start('ingress', trace_parent=header)
 
         assert not span.parent_id
@@ -76,7 +76,7 @@
         'outcome', [Outcome.NOT_RUN, Outcome.FAILED, Outcome.UNKNOWN]
     )
     def test_unsampled_span_is_kept_unless_answered(self, clock, outcome):
-        """Refused, failed and unknown calls are always kept."""
+        """Refused, failed and unknown calls are stored regardless."""
         traces = traces_of(clock)
         span = traces.start('ingress', trace_parent=UNSAMPLED, request_id='r')
 
@@ -84,7 +84,7 @@
         assert traces.recent('r')[0].reason == 'overload'
 
     def test_unsampled_slow_span_is_kept(self, clock):
-        """A call as slow as the settings say is kept with its duration."""
+        """A call of exactly ``slow_seconds`` is stored with its duration."""
         traces = traces_of(clock)
         span = traces.start('ingress', trace_parent=UNSAMPLED, request_id='r')
         clock.now_ns += 500_000_000
@@ -92,17 +92,17 @@
         assert traces.end(span, Outcome.ANSWERED)
         assert traces.recent('r')[0].duration_ms == 500
 
-    def test_unsampled_plain_span_is_dropped(self, clock):
-        """An answer in time of an unsampled trace leaves nothing."""
-        traces = traces_of(clock, share=1.0)
+    def test_unsampled_fast_answer_is_dropped(self, clock):
+        """A fast answered call of an unsampled trace is not stored."""
+        traces = traces_of(clock, sampling_ratio=1.0)
         span = traces.start('ingress', trace_parent=UNSAMPLED, request_id='r')
 
         assert not traces.end(span, Outcome.ANSWERED)
         assert not traces.recent('r')
 
     def test_memory_is_bounded(self, clock):
-        """The oldest spans make room for the newest."""
-        traces = traces_of(clock, share=1.0, capacity=3)
+        """At capacity the oldest spans are dropped."""
+        traces = traces_of(clock, sampling_ratio=1.0, capacity=3)
         for number in range(5):
             span = traces.start(f'hop {number}', request_id='r')
             traces.end(span, Outcome.ANSWERED)
@@ -116,8 +116,8 @@
         [{'duration_ms': 'long'}, {'node': None}, {'unheard_of': 1}],
     )
     def test_malformed_record_is_a_typed_error(self, clock, change):
-        """A field of another type or name is refused."""
-        traces = traces_of(clock, share=1)
+        """A field with a wrong type or an unknown name is an error."""
+        traces = traces_of(clock, sampling_ratio=1)
         span = traces.start('ingress', request_id='r')
         traces.end(span, Outcome.ANSWERED)
         fields = only(traces.recent('r')).as_dict()
@@ -126,8 +126,8 @@
             decode_span(fields | change)
 
     def test_record_survives_the_wire(self, clock):
-        """A record is the same after its wire form."""
-        traces = traces_of(clock, share=1.0)
+        """A record equals itself after encoding and decoding."""
+        traces = traces_of(clock, sampling_ratio=1.0)
         span = traces.start('ingress', request_id='r')
         traces.end(span, Outcome.ANSWERED)
 
--- a/tests/settings/test_load.py
+++ b/tests/settings/test_load.py
@@ -1,4 +1,4 @@
-"""Settings files, checked whole."""
+"""Loading and validating the settings files of nodes and callers."""
 
 from pathlib import Path
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def node_ini(tmp_path):
-    """Return a function that loads a node's settings from a text."""
+    """Return a function that loads node settings from text."""
 
     def load(text):
         path = tmp_path / 'node.ini'
@@ -33,15 +33,15 @@
 
 
 class TestNodeSettings:
-    """A node's file."""
+    """The settings file of a node."""
 
     @pytest.mark.parametrize('name', ['nahr-labs', 'despensa'])
     def test_examples(self, name):
-        """The example files have no faults."""
+        """The example files load without faults."""
         assert load_node_settings(EXAMPLES / name / 'node.ini').is_ok()
 
     def test_values_and_defaults(self, node_ini):
-        """Keys that are given are read and the others have their defaults."""
+        """Keys in the file are parsed; the others have their defaults."""
         settings = node_ini(NODE).ok
 
         assert settings.node.name == 'payments-1'
@@ -52,7 +52,7 @@
         assert settings.limits.leave_seconds == 3
 
     @pytest.mark.parametrize(
-        ('old', 'new', 'place', 'remedy'),
+        ('old', 'new', 'location', 'remedy'),
         [
             ('slots', 'slot', ('target', 'slot'), "'slots'"),
             ('[target]', '[targets]', ('targets', ''), "'target'"),
@@ -87,44 +87,46 @@
             ('[node]', 'node', ('', ''), 'docs/CONFIGURATION.md'),
         ],
     )
-    def test_fault_is_placed(self, node_ini, old, new, place, remedy):
-        """A fault names its section and key, and how to mend it."""
+    def test_fault_has_location_and_remedy(
+        self, node_ini, old, new, location, remedy
+    ):
+        """A fault names its section and key, and how to correct it."""
         found = node_ini(NODE.replace(old, new, 1)).error
-        by_place = {(fault.section, fault.key): fault for fault in found}
+        by_location = {(fault.section, fault.key): fault for fault in found}
 
-        assert remedy in by_place[place].remedy
-        assert 'node.ini' in str(by_place[place])
+        assert remedy in by_location[location].remedy
+        assert 'node.ini' in str(by_location[location])
 
-    def test_all_at_once(self, node_ini):
-        """Every fault of a file is reported in one go."""
+    def test_all_faults_are_reported(self, node_ini):
+        """One load reports every fault of a file, not only the first."""
         text = NODE.replace('160', 'x').replace('1000', 'y')
 
         assert len(node_ini(text).error) == 2
 
-    def test_token_opens_admin(self, node_ini):
-        """With a token the admin API may listen beyond loopback."""
+    def test_token_allows_admin_beyond_loopback(self, node_ini):
+        """With a token, the admin API may listen on any address."""
         text = NODE.replace('127.0.0.1:8102', '10.0.0.1:8102')
 
         assert node_ini(f'{text}\n[security]\nadmin_token_file = t').is_ok()
 
     def test_missing_file(self, tmp_path):
-        """A file that is not there is one fault."""
+        """A missing file is reported as a single fault."""
         assert len(load_node_settings(tmp_path / 'no.ini').error) == 1
 
     @given(text=st.text(max_size=100))
-    def test_noise(self, text, tmp_path_factory):
-        """Arbitrary text gives faults that can be shown."""
-        path = tmp_path_factory.getbasetemp() / 'noise.ini'
+    def test_arbitrary_text(self, text, tmp_path_factory):
+        """Arbitrary text gives faults that can be formatted."""
+        path = tmp_path_factory.getbasetemp() / 'arbitrary.ini'
         path.write_text(text, encoding='utf-8')
 
         assert all(map(str, load_node_settings(path).error))
 
 
 class TestClientSettings:
-    """A caller's file."""
+    """The settings file of a caller."""
 
     def test_values(self, tmp_path):
-        """The file of a caller is read, with IPv6 seeds too."""
+        """Values are parsed, IPv6 seeds included."""
         path = tmp_path / 'client.ini'
         path.write_text(CLIENT, encoding='utf-8')
         settings = load_client_settings(path).ok
@@ -133,8 +135,8 @@
         assert str(settings.nodes.seeds[1]) == '[::1]:8102'
         assert settings.client.region == 'default'
 
-    def test_faults(self, tmp_path):
-        """A seed that is no address is refused."""
+    def test_malformed_seed(self, tmp_path):
+        """A seed that is not an address is reported under its key."""
         path = tmp_path / 'client.ini'
         path.write_text(CLIENT.replace('8102', 'x'), encoding='utf-8')
 
--- a/tests/settings/test_reference.py
+++ b/tests/settings/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference page says what the code does."""
+"""The reference page lists the same sections and keys as the code."""
 
 from pathlib import Path
 
@@ -10,7 +10,7 @@
 
 
 def lines_of(table):
-    """Return the lines of the page for one section."""
+    """Yield the lines that the page must have for one section."""
     yield f'### [{table.name}]'
     yield table.meaning
     for key in table.keys:
@@ -33,13 +33,13 @@
         ids=lambda table: table.name,
     )
     def test_has_every_key(self, table):
-        """Every section and key stands on the page as in the code."""
+        """The page has each section and key as the code defines it."""
         page = PAGE.read_text(encoding='utf-8').splitlines()
 
         assert [line for line in lines_of(table) if line not in page] == []
 
     def test_has_no_other_key(self):
-        """The page has no key that the code does not know."""
+        """The page has no key that the code does not define."""
         _, settings = PAGE.read_text(encoding='utf-8').split('# Settings\n')
         tables = NODE_TABLES + CLIENT_TABLES + SIDECAR_TABLES
         known = {line for table in tables for line in lines_of(table)}
--- a/tests/settings/test_sidecar.py
+++ b/tests/settings/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The settings of a sidecar."""
+"""Loading and validating the settings file of a sidecar."""
 
 from pathlib import Path
 
@@ -26,7 +26,7 @@
 
 
 def filled_template() -> str:
-    """Return the template as the platform fills it in."""
+    """Return the template with values filled in by the platform."""
     text = (ROOT / 'platform' / 'node.ini').read_text()
     for name, value in FILLED.items():
         text = text.replace('{{' + name + '}}', value)
@@ -34,10 +34,10 @@
 
 
 class TestSidecarSettings:
-    """One file, checked whole."""
+    """The settings file of a sidecar."""
 
     def test_reads_the_template(self, tmp_path: Path) -> None:
-        """What the platform fills in is a whole settings file."""
+        """The filled-in template is a complete settings file."""
         path = tmp_path / 'node.ini'
         path.write_text(filled_template())
         settings = load_sidecar_settings(path).ok
@@ -55,14 +55,14 @@
             ('service = s1', 'servcie = s1', 'service'),
         ],
     )
-    def test_names_every_fault(
+    def test_fault_names_its_key(
         self,
         tmp_path: Path,
         before: str,
         after: str,
         key: str,
     ) -> None:
-        """A value that cannot be read is named with its key."""
+        """A malformed value or a missing key is reported under its key."""
         path = tmp_path / 'node.ini'
         path.write_text(filled_template().replace(before, after))
         faults = load_sidecar_settings(path).error
