--- a/src/lovageshunt/node/admin/_admin.py
+++ b/src/lovageshunt/node/admin/_admin.py
@@ -92,15 +92,14 @@
             if not self._has_valid_token(request):
                 return _problem(
                     _UNAUTHORIZED,
-                    'admin token is missing or wrong; send the header '
-                    '"authorization: Bearer TOKEN" with the token from '
-                    'admin_token_file',
+                    'the token is missing or wrong; send "authorization: '
+                    'Bearer TOKEN" with the token of admin_token_file',
                 )
             if not self._is_allowed_peer(request):
                 return _problem(
                     _FORBIDDEN,
-                    'path is reserved for nodes; present a client certificate '
-                    'signed by the authority in authority_file',
+                    'only nodes may send this; show a certificate of the '
+                    'authority_file',
                 )
             try:
                 return await handler(request)
@@ -161,7 +160,7 @@
         try:
             answer: InquiryAnswer = await self._runtime.answer_inquiry(inquiry)
         except TimeoutError:
-            return _problem(_UNAVAILABLE, 'inquiry timed out; send it again')
+            return _problem(_UNAVAILABLE, 'no answer in time; ask again')
         return Response(encode_inquiry_answer(answer), media_type=_JSON)
 
     async def _hand_over(self, request: Request) -> Response:
--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -135,8 +135,8 @@
                 _Refusal(
                     _BAD_REQUEST_STATUS,
                     RefusalReason.MALFORMED,
-                    f'the {CONTEXT_HEADER} header is missing; pass on the '
-                    'one of the call that the target is serving',
+                    f'no {CONTEXT_HEADER} header; pass on the one of the '
+                    'call that the target serves',
                 ),
             )
         service, _ = _split(inbound.target)
@@ -145,8 +145,9 @@
                 _Refusal(
                     _NOT_FOUND_STATUS,
                     RefusalReason.NO_TARGET,
-                    f'service {service!r} is not listed in [calls] services; '
-                    'add it there, and request /SERVICE/PATH',
+                    f'{service!r} is not among the services that the target '
+                    'calls; ask for /SERVICE/PATH and name it in [calls] '
+                    'services',
                 ),
             )
         served = self._served_calls.find(header)
@@ -155,9 +156,9 @@
                 _Refusal(
                     _FORBIDDEN_STATUS,
                     RefusalReason.FORBIDDEN,
-                    f'the {CONTEXT_HEADER} header matches no call that the '
-                    'target is serving; pass it on unchanged, before the '
-                    'call ends',
+                    f'the {CONTEXT_HEADER} header is that of no call which '
+                    'the target serves now; pass it on as it came, before '
+                    'the call is over',
                 ),
             )
         return Ok(served)
@@ -195,8 +196,8 @@
         return _Refusal(
             _TOO_LARGE_STATUS,
             RefusalReason.MALFORMED,
-            f'the request body exceeds {self._max_body_bytes} bytes; send '
-            'less, or raise [limits] body_bytes',
+            f'the body is over {self._max_body_bytes} bytes; send less, or '
+            'raise [limits] body_bytes',
         )
 
 
