--- a/src/lovageshunt/cli/__init__.py
+++ b/src/lovageshunt/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The commands of operators."""
+"""The ``lovageshunt`` command line for operators."""
 
 from lovageshunt.cli._app import GROUPS, Group, main, run
 from lovageshunt.cli._command import (
--- a/src/lovageshunt/cli/__main__.py
+++ b/src/lovageshunt/cli/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the commands with ``python -m lovageshunt.cli``."""
+"""Entry point of ``python -m lovageshunt.cli``."""
 
 from lovageshunt.cli._app import run
 
--- a/src/lovageshunt/cli/_account.py
+++ b/src/lovageshunt/cli/_account.py
@@ -1,4 +1,4 @@
-"""The command that collects, merges and balances the account."""
+"""The command that collects, merges and balances call accounts."""
 
 import csv
 import time
@@ -23,7 +23,7 @@
     snapshot_from_dict,
 )
 from lovageshunt.cli._account_report import AccountReport, Collection
-from lovageshunt.cli._ask import ask_nodes, define_nodes
+from lovageshunt.cli._ask import define_node_flags, query_nodes
 from lovageshunt.cli._command import (
     Command,
     ExitCode,
@@ -34,7 +34,7 @@
 )
 from lovageshunt.errors import LovageshuntError
 
-_PATH: Final = '/v1/account'
+_ACCOUNT_PATH: Final = '/v1/account'
 _KEY_HEADERS: Final = ('service', 'kind', 'importance')
 _COUNT_HEADERS: Final = (
     'arrived',
@@ -50,46 +50,46 @@
 
 
 def account(arguments: Sequence[str], values: FlagValues) -> ExitCode:
-    """Collect the account, show it, and fail unless it is whole."""
+    """Show the merged account; fail if it is incomplete or inconsistent."""
     if arguments:
-        write_error('expected flags only; see --help')
+        write_error('expected flags only, got other arguments; see --help')
         return ExitCode.FAULTS
     match _collect(values):
         case Result(tag='ok', ok=report):
-            return _publish(report, values)
-        case Result(error=fault):
-            write_error(fault)
+            return _output(report, values)
+        case Result(error=problem):
+            write_error(problem)
     return ExitCode.FAULTS
 
 
 def _collect(values: FlagValues) -> Result[AccountReport, str]:
-    return _collect_once(values).bind(
-        lambda earlier: _collect_again(earlier, values),
+    return _collect_snapshots(values).bind(
+        lambda earlier: _collect_second(earlier, values),
     )
 
 
-def _collect_again(
+def _collect_second(
     earlier: Collection,
     values: FlagValues,
 ) -> Result[AccountReport, str]:
     if not earlier.has_callers:
         return Ok(AccountReport(earlier, earlier=earlier))
     time.sleep(values.get_flag_value('wait-seconds', None))
-    return _collect_once(values).map(
+    return _collect_snapshots(values).map(
         lambda collection: AccountReport(collection, earlier=earlier),
     )
 
 
-def _collect_once(values: FlagValues) -> Result[Collection, str]:
-    return ask_nodes(_PATH, values).bind(
-        lambda answers: _with_callers(
+def _collect_snapshots(values: FlagValues) -> Result[Collection, str]:
+    return query_nodes(_ACCOUNT_PATH, values).bind(
+        lambda answers: _add_caller_snapshots(
             Collection(answers, time.time()),
             values.callers or (),
         ),
     )
 
 
-def _with_callers(
+def _add_caller_snapshots(
     collection: Collection,
     paths: Sequence[str],
 ) -> Result[Collection, str]:
@@ -98,18 +98,21 @@
             fields = orjson.loads(Path(path).read_bytes())
             collection.account.add(snapshot_from_dict(fields))
         except (LovageshuntError, OSError, ValueError) as error:
-            return Error(f'--callers has {path!r} ({error}); name snapshots')
+            return Error(
+                f'cannot read a caller snapshot from {path!r} ({error}); give '
+                '--callers files with snapshots that callers wrote',
+            )
     return Ok(collection)
 
 
-def _publish(report: AccountReport, values: FlagValues) -> ExitCode:
+def _output(report: AccountReport, values: FlagValues) -> ExitCode:
     if not _write_files(report, values):
         return ExitCode.FAILED
     if values.json:
         write_json(report.as_dict())
     else:
         _show(report)
-    return ExitCode.FINE if report.is_whole else ExitCode.FAILED
+    return ExitCode.FINE if report.is_complete else ExitCode.FAILED
 
 
 def _write_files(report: AccountReport, values: FlagValues) -> bool:
@@ -118,29 +121,32 @@
         if values.csv is not None:
             write_csv(lines, Path(values.csv))
         if values.plot is not None:
-            # Loaded only here, because it takes long and is an extra.
+            # matplotlib is an optional dependency and slow to import.
             plot = import_module('lovageshunt.cli._account_plot')
             plot.write_plot(lines, values.plot)
     except (ImportError, OSError, ValueError) as error:
         write_error(
-            f'the file cannot be written ({error}); choose another path, and '
-            "for --plot install 'lovageshunt[plot]' and end it in .png or .svg",
+            f'cannot write the output file ({error}); choose another path; '
+            "--plot needs 'lovageshunt[plot]' and a name in .png or .svg",
         )
         return False
     return True
 
 
 def write_csv(lines: Iterable[AccountLine], path: Path) -> None:
-    """Write one row for each line and cause, for a spreadsheet."""
+    """Write the account as CSV, one row per account line and cause.
+
+    Raises ``OSError`` when the file cannot be written.
+    """
     with path.open('w', encoding='utf-8', newline='') as stream:
         writer = csv.writer(stream)
         writer.writerow(_CAUSE_HEADERS)
         for line in lines:
-            writer.writerows(_count_rows(line))
+            writer.writerows(_total_rows(line))
             writer.writerows(_cause_rows(line))
 
 
-def _count_rows(line: AccountLine) -> list[tuple[str, ...]]:
+def _total_rows(line: AccountLine) -> list[tuple[str, ...]]:
     key = _key_cells(line)
     return [
         (*key, 'arrived', '', str(line.arrived)),
@@ -162,17 +168,17 @@
 
 
 def _show(report: AccountReport) -> None:
-    _show_lines('at nodes', report.lines())
+    _show_section('counted by nodes', report.lines())
     callers = report.lines(Role.CALLER)
     if callers:
-        _show_lines('as callers saw it', callers)
-    for fault in report.faults():
-        write_line(fault)
-    verdict = 'is whole' if report.is_whole else 'is NOT whole'
-    write_line(f'the account {verdict}')
+        _show_section('counted by callers', callers)
+    for problem_line in report.problem_lines():
+        write_line(problem_line)
+    verdict = 'complete' if report.is_complete else 'NOT complete'
+    write_line(f'the account is {verdict}')
 
 
-def _show_lines(title: str, lines: list[AccountLine]) -> None:
+def _show_section(title: str, lines: list[AccountLine]) -> None:
     write_line(f'{title}:')
     write_table(
         (*_KEY_HEADERS, *_COUNT_HEADERS),
@@ -180,7 +186,7 @@
     )
     causes = [row for line in lines for row in _cause_rows(line)]
     if causes:
-        write_line('\nwhy:')
+        write_line('\ncauses:')
         write_table(_CAUSE_HEADERS, causes)
     write_line('')
 
@@ -190,30 +196,30 @@
 
 
 def _define(values: FlagValues) -> None:
-    define_nodes(values)
+    define_node_flags(values)
     DEFINE_list(
         'callers',
         None,
-        'Files with snapshots that callers wrote, to be compared.',
+        'Snapshot files written by callers, compared with the nodes.',
         flag_values=values,
     )
     DEFINE_float(
         'wait-seconds',
         0,
-        'Time for callers to report between two readings.',
+        'Seconds between two collections when callers are compared.',
         lower_bound=0,
         flag_values=values,
     )
     DEFINE_string(
         'csv',
         None,
-        'Also write the counts here, a row for each cause.',
+        'Also write the counts to this CSV file, one row per cause.',
         flag_values=values,
     )
     DEFINE_string(
         'plot',
         None,
-        'Also draw what became of calls here, as .png or .svg.',
+        'Also plot the outcomes of calls to this .png or .svg file.',
         flag_values=values,
     )
 
@@ -221,7 +227,7 @@
 COMMANDS: Final = (
     Command(
         name='',
-        summary='Collect the account, balance it and name what is missing.',
+        summary='Collect and balance the call accounts; list missing data.',
         example='--nodes=127.0.0.1:8102,127.0.0.1:8202 --csv=account.csv',
         define=_define,
         run=account,
--- a/src/lovageshunt/cli/_account_plot.py
+++ b/src/lovageshunt/cli/_account_plot.py
@@ -1,4 +1,4 @@
-"""A picture of what became of calls, for those who pay for them."""
+"""A bar chart of call outcomes, for capacity and cost reviews."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -8,31 +8,31 @@
 
 from lovageshunt.account import AccountLine
 
-_ENDS: Final = ('answered', 'refused', 'failed', 'unknown', 'running')
+_OUTCOMES: Final = ('answered', 'refused', 'failed', 'unknown', 'running')
 _COLOURS: Final = ('tab:green', 'tab:orange', 'tab:red', 'tab:purple', 'grey')
 _WIDTH_INCHES: Final = 10
-_LINE_INCHES: Final = 0.4
+_BAR_INCHES: Final = 0.4
 _MARGIN_INCHES: Final = 1.5
 
 
 def write_plot(lines: Sequence[AccountLine], path: str) -> None:
-    """Draw a bar for each line, divided by how its calls ended.
+    """Draw one bar per account line, stacked by outcome.
 
-    Wasted calls are marked on the bar, because they are among the others.
-    Raises ``ValueError`` when the path's ending names no known format.
+    Wasted calls are a marker on the bar, because they are already counted
+    under their outcome. Raises ``ValueError`` for an unknown file extension.
     """
-    height = _MARGIN_INCHES + _LINE_INCHES * len(lines)
+    height = _MARGIN_INCHES + _BAR_INCHES * len(lines)
     figure = Figure(figsize=(_WIDTH_INCHES, height), layout='constrained')
     FigureCanvasAgg(figure)
     axes = figure.add_subplot()
-    names = [f'{line.service} {line.kind} {line.importance}' for line in lines]
-    ends = [0 for _ in lines]
-    for end, colour in zip(_ENDS, _COLOURS, strict=True):
-        counts = [getattr(line, end) for line in lines]
-        axes.barh(names, counts, left=ends, color=colour, label=end)
-        ends = [sum(pair) for pair in zip(ends, counts, strict=True)]
+    labels = [f'{line.service} {line.kind} {line.importance}' for line in lines]
+    offsets = [0 for _ in lines]
+    for outcome, colour in zip(_OUTCOMES, _COLOURS, strict=True):
+        counts = [getattr(line, outcome) for line in lines]
+        axes.barh(labels, counts, left=offsets, color=colour, label=outcome)
+        offsets = [sum(pair) for pair in zip(offsets, counts, strict=True)]
     wasted = [line.wasted for line in lines]
-    axes.plot(wasted, names, 'k|', markersize=12, label='wasted')
+    axes.plot(wasted, labels, 'k|', markersize=12, label='wasted')
     axes.set_xlabel('calls')
     axes.legend()
     figure.savefig(path)
--- a/src/lovageshunt/cli/_account_report.py
+++ b/src/lovageshunt/cli/_account_report.py
@@ -1,4 +1,4 @@
-"""The account of a deployment, as collected from its nodes."""
+"""The call account of a deployment, merged from its nodes' answers."""
 
 import time
 from collections.abc import Iterable
@@ -24,29 +24,33 @@
 
 
 class Collection:
-    """The snapshots in the answers of the nodes, and what went wrong."""
+    """Account snapshots merged from one round of node answers.
+
+    ``account`` holds the merged snapshots, ``errors`` one error per node
+    without a usable answer, ``holes`` the intervals without counts as of
+    ``now`` (seconds since 1970).
+    """
 
     __slots__ = ('account', 'errors', 'holes', '_held_by_owner')
 
     def __init__(self, answers: list[NodeAnswer], now: float) -> None:
-        """Merge the nodes' answers as of ``now``, in seconds since 1970."""
         self.account = MergedAccount()
         self.errors: list[LovageshuntError] = []
         self._held_by_owner: dict[Owner, dict[str, int]] = {}
         live = [
-            (own.node, own.incarnation)
-            for own in map(self._take, answers)
-            if own is not None
+            (snapshot.node, snapshot.incarnation)
+            for snapshot in map(self._add_answer, answers)
+            if snapshot is not None
         ]
         self.holes: list[Hole] = self.account.holes(now, live)
 
     @property
     def has_callers(self) -> bool:
-        """Return whether there is any caller's account to compare."""
+        """Whether any caller reported counts that can be compared."""
         return bool(self.account.lines(Role.CALLER))
 
     def imbalances(self) -> list[Imbalance]:
-        """Return what does not balance, in the newest account of each."""
+        """Return violated balance laws in each owner's newest snapshot."""
         return [
             imbalance
             for snapshot in self.account.snapshots()
@@ -57,7 +61,7 @@
         ]
 
     def reading(self) -> Reading:
-        """Return the figures to compare callers with nodes."""
+        """Return the counts that ``reconcile`` compares, with their times."""
         return Reading(
             callers=self.account.lines(Role.CALLER),
             nodes=self.account.lines(),
@@ -74,39 +78,39 @@
             ),
         )
 
-    def _take(self, answer: NodeAnswer) -> AccountSnapshot | None:
+    def _add_answer(self, answer: NodeAnswer) -> AccountSnapshot | None:
         if answer.error:
             self.errors.append(answer.error)
             return None
         try:
-            return self._take_body(answer.body)
+            return self._add_body(answer.body)
         except (LovageshuntError, TypeError, ValueError) as error:
             self.errors.append(NodeAnswerError(answer.address, str(error)))
             return None
 
-    def _take_body(self, body: dict[str, Any]) -> AccountSnapshot:
-        own = snapshot_from_dict(body.get('account'))
+    def _add_body(self, body: dict[str, Any]) -> AccountSnapshot:
+        own_snapshot = snapshot_from_dict(body.get('account'))
         for name in ('callers', 'kept'):
             for fields in body.get(name, ()):
                 self.account.add(snapshot_from_dict(fields))
-        self.account.add(own)
+        self.account.add(own_snapshot)
         held = body.get('held_by_service')
         if isinstance(held, dict):
-            self._held_by_owner[own.owner] = held
-        return own
+            self._held_by_owner[own_snapshot.owner] = held
+        return own_snapshot
 
 
 class AccountReport:
-    """What was collected, and what is wrong with it.
+    """A collection and the inconsistencies found in it.
 
-    ``earlier`` was collected just before, so that figures of callers and
-    nodes can be compared while calls are on their way.
+    ``earlier`` is a collection made shortly before: with both, counts of
+    callers and nodes can be compared while calls are in flight.
+    ``differences`` lists contradictions between callers and nodes.
     """
 
     __slots__ = ('_collection', 'differences')
 
     def __init__(self, collection: Collection, earlier: Collection) -> None:
-        """Compare the two collections."""
         self._collection = collection
         self.differences: list[Difference] = []
         if collection.has_callers:
@@ -116,68 +120,72 @@
             )
 
     @property
-    def is_whole(self) -> bool:
-        """Say whether nothing is missing and all balances."""
-        found = self._collection
+    def is_complete(self) -> bool:
+        """Whether no data is missing and all counts are consistent."""
+        collection = self._collection
         unexplained = [
             difference
             for difference in self.differences
             if not difference.is_explained
         ]
-        missing = found.errors or found.holes
-        return not (missing or found.imbalances() or unexplained)
+        missing = collection.errors or collection.holes
+        return not (missing or collection.imbalances() or unexplained)
 
     def lines(self, role: Role = Role.NODE) -> list[AccountLine]:
-        """Return the counts of all nodes, or of all callers."""
+        """Return the counts summed over all nodes, or over all callers."""
         return self._collection.account.lines(role)
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the report for programs."""
-        found = self._collection
+        """Return the fields of the ``--json`` output."""
+        collection = self._collection
         return {
-            'is_whole': self.is_whole,
+            'is_whole': self.is_complete,
             'nodes': _dicts(self.lines()),
             'callers': _dicts(self.lines(Role.CALLER)),
-            'holes': _dicts(found.holes),
-            'imbalances': _dicts(found.imbalances()),
+            'holes': _dicts(collection.holes),
+            'imbalances': _dicts(collection.imbalances()),
             'differences': _dicts(self.differences),
-            'errors': [str(error) for error in found.errors],
+            'errors': [str(error) for error in collection.errors],
         }
 
-    def faults(self) -> list[str]:
-        """Return a line for each fault, for people."""
-        found = self._collection
+    def problem_lines(self) -> list[str]:
+        """Return one line of text per error, hole or inconsistency."""
+        collection = self._collection
         return [
-            *map(str, found.errors),
-            *map(_hole_line, found.holes),
-            *map(_imbalance_line, found.imbalances()),
+            *map(str, collection.errors),
+            *map(_hole_line, collection.holes),
+            *map(_imbalance_line, collection.imbalances()),
             *map(_difference_line, self.differences),
         ]
 
 
 def _hole_line(hole: Hole) -> str:
     return (
-        f'hole: {hole.node} {hole.incarnation} from {_shown_time(hole.from_at)}'
-        f' to {_shown_time(hole.to_at)}'
+        f'hole: {hole.node} {hole.incarnation} from '
+        f'{_format_time(hole.from_at)} to {_format_time(hole.to_at)}'
     )
 
 
-def _imbalance_line(fault: Imbalance) -> str:
+def _imbalance_line(imbalance: Imbalance) -> str:
     return (
-        f'imbalance: {fault.node} {fault.service} {fault.kind} '
-        f'{fault.importance}: {fault.law} is off by {fault.excess}'
+        f'imbalance: {imbalance.node} {imbalance.service} {imbalance.kind} '
+        f'{imbalance.importance}: {imbalance.law} is off by '
+        f'{imbalance.excess}'
     )
 
 
-def _difference_line(fault: Difference) -> str:
-    why = ', which missing figures may explain' if fault.is_explained else ''
+def _difference_line(difference: Difference) -> str:
+    explanation = (
+        ', which missing counts may explain' if difference.is_explained else ''
+    )
     return (
-        f'difference: {fault.service} {fault.kind} {fault.importance}: '
-        f'{fault.claim} is off by {fault.excess}{why}'
+        f'difference: {difference.service} {difference.kind} '
+        f'{difference.importance}: {difference.claim} is off by '
+        f'{difference.excess}{explanation}'
     )
 
 
-def _shown_time(seconds: float) -> str:
+def _format_time(seconds: float) -> str:
     return time.strftime('%Y-%m-%dT%H:%M:%SZ', time.gmtime(seconds))
 
 
--- a/src/lovageshunt/cli/_app.py
+++ b/src/lovageshunt/cli/_app.py
@@ -1,4 +1,4 @@
-"""Finds the command that a command line names, and runs it."""
+"""Parses the command line and dispatches to the command."""
 
 import sys
 from collections.abc import Iterable, Sequence
@@ -18,51 +18,50 @@
 )
 
 _PROGRAM: Final = 'lovageshunt'
-_HELP_WORDS: Final = frozenset(('help', '-h', '--help'))
+_HELP_ARGUMENTS: Final = frozenset(('help', '-h', '--help'))
 
 
 class Group(Record):
-    """Commands that share their first word.
+    """Commands that share the first word ``name``.
 
-    ``module`` has them in its ``COMMANDS``; it is imported only when one of
-    them is called, so that a check of a sheet loads no HTTP library.
+    ``module`` defines them as ``COMMANDS``. It is imported only when one of
+    them is run, so that ``rules check`` does not load the HTTP library.
     """
 
     __slots__ = ('name', 'module', 'summary')
 
     def __init__(self, *, name: str, module: str, summary: str) -> None:
-        """Take every field by name."""
         self.name = name
         self.module = module
         self.summary = summary
 
     def commands(self) -> tuple[Command, ...]:
-        """Import and return the group's commands."""
+        """Import the module and return its ``COMMANDS``."""
         commands: tuple[Command, ...] = import_module(self.module).COMMANDS
         return commands
 
 
-#: Every first word of a command line.
+#: The command groups, in the order of the help.
 GROUPS: Final = (
     Group(
         name='rules',
         module='lovageshunt.cli._rules',
-        summary='Check, compare and accept rules; see which are in force.',
+        summary='Check, compare and accept rules; show those in force.',
     ),
     Group(
         name='status',
         module='lovageshunt.cli._status',
-        summary='Show a deployment at a glance.',
+        summary='Show the status of all nodes of a deployment.',
     ),
     Group(
         name='top',
         module='lovageshunt.cli._top',
-        summary='Show a deployment at a glance, again and again.',
+        summary='Show the status of all nodes repeatedly.',
     ),
     Group(
         name='account',
         module='lovageshunt.cli._account',
-        summary='Collect, balance and show what became of calls.',
+        summary='Collect, balance and show the outcomes of calls.',
     ),
     Group(
         name='trace',
@@ -72,7 +71,7 @@
     Group(
         name='explain',
         module='lovageshunt.cli._explain',
-        summary='Tell from collected logs what became of a request.',
+        summary='Show the log lines that explain the outcome of a request.',
     ),
     Group(
         name='node',
@@ -83,51 +82,54 @@
 
 
 def main(argv: Sequence[str]) -> int:
-    """Run one command line, without the program's name."""
-    if not argv or argv[0] in _HELP_WORDS:
+    """Run a command line given without the program name.
+
+    Returns the exit code; see ``ExitCode``.
+    """
+    if not argv or argv[0] in _HELP_ARGUMENTS:
         _show_groups()
         return ExitCode.FINE if argv else ExitCode.FAULTS
     group_by_name = {group.name: group for group in GROUPS}
     group = group_by_name.get(argv[0])
     if group is None:
-        return _refuse_word(argv[0], group_by_name)
+        return _report_unknown_command(argv[0], group_by_name)
     return _run_group(group, argv[1:])
 
 
 def run() -> None:
-    """Run the process's own command line, and exit."""
+    """Run ``sys.argv`` and exit the process with the exit code."""
     sys.exit(main(sys.argv[1:]))
 
 
 def _run_group(group: Group, argv: Sequence[str]) -> int:
     by_name = {command.name: command for command in group.commands()}
-    lone = by_name.get('')
-    if lone is not None:
-        return _run_command(group.name, lone, argv)
-    if not argv or argv[0] in _HELP_WORDS:
+    only_command = by_name.get('')
+    if only_command is not None:
+        return _run_command(group.name, only_command, argv)
+    if not argv or argv[0] in _HELP_ARGUMENTS:
         _show_commands(group, by_name)
         return ExitCode.FINE if argv else ExitCode.FAULTS
     command = by_name.get(argv[0])
     if command is None:
-        return _refuse_word(argv[0], by_name)
+        return _report_unknown_command(argv[0], by_name)
     return _run_command(f'{group.name} {command.name}', command, argv[1:])
 
 
-def _refuse_word(word: str, known: Iterable[str]) -> int:
+def _report_unknown_command(name: str, known: Iterable[str]) -> int:
     names = ', '.join(known)
-    write_error(f'unknown command {word!r}, expected one of {names}')
+    write_error(f'unknown command {name!r}; expected one of: {names}')
     return ExitCode.FAULTS
 
 
-def _run_command(words: str, command: Command, argv: Sequence[str]) -> int:
+def _run_command(full_name: str, command: Command, argv: Sequence[str]) -> int:
     values = command.make_flags()
     try:
-        arguments = values([words, *argv])[1:]
+        arguments = values([full_name, *argv])[1:]
     except FlagsError as error:
-        write_error(f'{error}; see {_PROGRAM} {words} --help')
+        write_error(f'{error}; see {_PROGRAM} {full_name} --help')
         return ExitCode.FAULTS
     if values.help:
-        _show_help(words, command, values)
+        _show_help(full_name, command, values)
         return ExitCode.FINE
     return command.run(arguments, values)
 
@@ -135,7 +137,7 @@
 def _show_groups() -> None:
     write_line(f'usage: {_PROGRAM} COMMAND ...\n')
     write_table(
-        ('command', 'what it does'),
+        ('command', 'description'),
         [(group.name, group.summary) for group in GROUPS],
     )
 
@@ -143,20 +145,24 @@
 def _show_commands(group: Group, by_name: dict[str, Command]) -> None:
     write_line(f'usage: {_PROGRAM} {group.name} COMMAND ...\n')
     write_table(
-        ('command', 'what it does'),
+        ('command', 'description'),
         [(command.name, command.summary) for command in by_name.values()],
     )
 
 
-def _show_help(words: str, command: Command, values: FlagValues) -> None:
+def _show_help(
+    full_name: str,
+    command: Command,
+    values: FlagValues,
+) -> None:
     write_line(f'{command.summary}\n')
-    write_line(f'usage: {_PROGRAM} {words} {command.arguments} [FLAGS]')
-    write_line(f'example: {_PROGRAM} {words} {command.example}\n')
+    write_line(f'usage: {_PROGRAM} {full_name} {command.arguments} [FLAGS]')
+    write_line(f'example: {_PROGRAM} {full_name} {command.example}\n')
     write_table(
         ('flag', 'default', 'meaning'),
         [_flag_row(values, name) for name in values],
     )
-    write_line('\nexit codes: 0 fine, 1 failed, 2 faults in the input')
+    write_line('\nexit codes: 0 success, 1 failure, 2 invalid input or flags')
 
 
 def _flag_row(values: FlagValues, name: str) -> tuple[str, str, str]:
--- a/src/lovageshunt/cli/_ask.py
+++ b/src/lovageshunt/cli/_ask.py
@@ -1,4 +1,4 @@
-"""What the commands that ask nodes share: flags, the asking and complaints."""
+"""Flags, queries and flag errors shared by commands that query nodes."""
 
 import asyncio
 from collections.abc import Sequence
@@ -13,43 +13,46 @@
 Answers = Result[list[NodeAnswer], str]
 
 
-def define_nodes(values: FlagValues) -> None:
-    """Add the flags that say which nodes to ask, and how."""
+def define_node_flags(values: FlagValues) -> None:
+    """Define the flags that name the nodes and how to reach them."""
     DEFINE_list(
         'nodes',
         None,
-        'Admin addresses of the nodes to ask.',
+        'Admin addresses of the nodes to query, as IP:PORT,IP:PORT.',
         flag_values=values,
     )
     DEFINE_string(
         'nodes-file',
         None,
-        'A file with more admin addresses, parted by blanks or lines.',
+        'A file with more admin addresses, separated by whitespace.',
         flag_values=values,
     )
     DEFINE_string(
         'token-file',
         None,
-        'The file with the admin token.',
+        'A file that contains only the admin token.',
         flag_values=values,
     )
     DEFINE_string(
         'authority-file',
         None,
-        'Ask by HTTPS, and check nodes against this authority.',
+        'Use HTTPS; verify the nodes with this CA certificate in PEM.',
         flag_values=values,
     )
     DEFINE_float(
         'timeout-seconds',
         2,
-        'How long a node may take to answer.',
+        'Seconds to wait for the answer of one node.',
         lower_bound=0.01,
         flag_values=values,
     )
 
 
-def ask_nodes(path: str, values: FlagValues) -> Answers:
-    """Ask every node for a path, or say which flag is wrong and its remedy."""
+def query_nodes(path: str, values: FlagValues) -> Answers:
+    """Request a path from every node.
+
+    The error is a message about the invalid flag and its remedy.
+    """
     return _read_addresses(values).map2(
         _read_access(values),
         lambda addresses, access: asyncio.run(
@@ -65,13 +68,16 @@
         try:
             text = Path(nodes_file).read_text(encoding='utf-8')
         except (OSError, ValueError) as error:
-            return Error(f'{nodes_file!r}: {error}; name a file of addresses')
+            return Error(
+                f'cannot read --nodes-file {nodes_file!r}: {error}; give a '
+                'readable text file with one IP:PORT per line',
+            )
         addresses.extend(text.split())
     for address in addresses:
         if not address.rpartition(':')[2].isdigit():
-            return Error(f'{address!r} is no address; write IP:PORT')
+            return Error(f'expected a node address IP:PORT, got {address!r}')
     if not addresses:
-        return Error('no nodes to ask; name them with --nodes=IP:PORT,IP:PORT')
+        return Error('no nodes given; list them with --nodes=IP:PORT,IP:PORT')
     return Ok(addresses)
 
 
@@ -80,25 +86,25 @@
     authority_file = values.get_flag_value('authority-file', None)
     try:
         access = AdminAccess(
-            token=_token_in(token_file),
-            tls=_tls_with(authority_file),
+            token=_read_token(token_file),
+            tls=_make_tls(authority_file),
             timeout_seconds=values.get_flag_value('timeout-seconds', None),
         )
     except (OSError, ValueError) as error:
         return Error(
-            f'{error}; name a readable --token-file with the token alone, and '
-            'an --authority-file in PEM',
+            f'{error}; give a readable --token-file that contains only the '
+            'token, and an --authority-file in PEM',
         )
     return Ok(access)
 
 
-def _token_in(path: str | None) -> str:
+def _read_token(path: str | None) -> str:
     if path is None:
         return ''
     return Path(path).read_text(encoding='utf-8').strip()
 
 
-def _tls_with(path: str | None) -> SSLContext | None:
+def _make_tls(path: str | None) -> SSLContext | None:
     if path is None:
         return None
     return create_default_context(cafile=path)
--- a/src/lovageshunt/cli/_command.py
+++ b/src/lovageshunt/cli/_command.py
@@ -1,4 +1,4 @@
-"""What every command is made of: flags, exit codes and output."""
+"""Command definitions, exit codes and output functions."""
 
 import sys
 from collections.abc import Callable, Iterable, Sequence
@@ -14,10 +14,11 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended, for the shell.
+    """Exit codes of the commands.
 
-    ``FINE``: done, nothing to mend. ``FAILED``: something else than the
-    input failed. ``FAULTS``: the input or the flags have faults.
+    ``FINE``: done, no problem found. ``FAILED``: the command failed or found
+    a problem, with valid input. ``FAULTS``: the input or the flags are
+    invalid.
     """
 
     FINE = 0
@@ -28,9 +29,9 @@
 class Command(Record):
     """One command: ``lovageshunt GROUP NAME``.
 
-    ``name`` is empty when the group is itself the command. ``define`` adds
-    the command's flags; ``run`` takes the other arguments and the parsed
-    flags. Every command has ``--json`` and ``--help``.
+    ``name`` is empty when the group has only this command. ``define`` adds
+    the command's flags; ``run`` receives the positional arguments and the
+    parsed flags. Every command has ``--json`` and ``--help``.
     """
 
     __slots__ = ('name', 'arguments', 'summary', 'example', 'define', 'run')
@@ -45,7 +46,6 @@
         arguments: str = '',
         define: Callable[[FlagValues], None] | None = None,
     ) -> None:
-        """Take every field by name."""
         self.name = name
         self.arguments = arguments
         self.summary = summary
@@ -54,35 +54,35 @@
         self.run = run
 
     def make_flags(self) -> FlagValues:
-        """Return the command's own flags."""
+        """Return new flag values with the common and the own flags."""
         values = FlagValues()  # type: ignore[no-untyped-call]
-        # Flags may stand before or after the other arguments.
+        # Allows flags after positional arguments too.
         values.set_gnu_getopt(True)
         DEFINE_bool('help', False, 'Show this help.', flag_values=values)
-        DEFINE_bool('json', False, 'JSON for programs.', flag_values=values)
+        DEFINE_bool('json', False, 'Print JSON.', flag_values=values)
         if self.define is not None:
             self.define(values)
         return values
 
 
 def write_line(text: str) -> None:
-    """Write a line for people."""
+    """Write a line of text to standard output."""
     sys.stdout.write(f'{text}\n')
 
 
 def write_error(text: str) -> None:
-    """Write a line about a failure."""
+    """Write a line of text to standard error."""
     sys.stderr.write(f'{text}\n')
 
 
 def write_json(content: Any) -> None:
-    """Write one JSON document for programs."""
+    """Write one indented JSON document to standard output."""
     dumped = orjson.dumps(content, option=orjson.OPT_INDENT_2)
     write_line(dumped.decode())
 
 
 def write_table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> None:
-    """Write aligned columns for people."""
+    """Write a header and rows to standard output in aligned columns."""
     lines = [header, *rows]
     columns = zip(*lines, strict=True)
     widths = [max(map(len, column)) for column in columns]
--- a/src/lovageshunt/cli/_explain.py
+++ b/src/lovageshunt/cli/_explain.py
@@ -1,4 +1,4 @@
-"""The command that tells from collected logs what became of a request."""
+"""The command that shows the log lines about one request."""
 
 from collections.abc import Iterable, Sequence
 from pathlib import Path
@@ -15,10 +15,11 @@
     write_line,
 )
 
-Line = dict[str, Any]
+LogRecord = dict[str, Any]
 
-#: Fields that are shown apart, or say nothing of the request.
-_SHOWN_APART: Final = frozenset(
+#: Fields left out of the field list: they are printed in front of it, or do
+#: not describe the request.
+_EXCLUDED_FIELDS: Final = frozenset(
     (
         'timestamp',
         'levelname',
@@ -29,25 +30,28 @@
         'node',
     ),
 )
-#: Seconds before and after a request's lines in which the lines of its nodes
-#: that belong to no request are shown.
+#: Default of --around_seconds: lines without a request id from the request's
+#: nodes are shown if they are this close to the request's lines.
 _AROUND_SECONDS: Final = 2.0
 _HOUR_SECONDS: Final = 3600
 _MINUTE_SECONDS: Final = 60
+# Slice of an ISO 8601 timestamp with the time of day, to the millisecond.
 _CLOCK_START: Final = 11
 _CLOCK_END: Final = 23
 
 
 def explain(arguments: Sequence[str], values: FlagValues) -> ExitCode:
-    """Print the lines of one request, and what its nodes saw around them."""
+    """Print the log lines of a request and nearby lines of its nodes."""
     if len(arguments) < 2:
-        write_error('expected a request id and log files; see --help')
+        write_error(
+            'expected a request id and one or more log files; see --help'
+        )
         return ExitCode.FAULTS
     request_id, *paths = arguments
     try:
         lines = [line for path in paths for line in read_lines(Path(path))]
     except OSError as error:
-        write_error(f'{error}; give files that can be read')
+        write_error(f'cannot read a log file: {error}; give readable files')
         return ExitCode.FAULTS
     found = timeline(request_id, lines, values.around_seconds)
     if values.json:
@@ -57,8 +61,11 @@
     return ExitCode.FINE if found else ExitCode.FAILED
 
 
-def read_lines(path: Path) -> Iterable[Line]:
-    """Return the JSON lines of a file; what stands before them is cut."""
+def read_lines(path: Path) -> Iterable[LogRecord]:
+    """Yield the JSON log records of a file, without prefixes before ``{``.
+
+    Raises ``OSError`` when the file cannot be read.
+    """
     for text in path.read_text(encoding='utf-8').splitlines():
         _, brace, rest = text.partition('{')
         if not brace:
@@ -66,7 +73,7 @@
         try:
             line = orjson.loads(brace + rest)
         except orjson.JSONDecodeError:
-            # A line that was cut off, or of another program.
+            # A truncated line, or one written by another program.
             continue
         if isinstance(line, dict) and 'timestamp' in line:
             yield line
@@ -74,65 +81,65 @@
 
 def timeline(
     request_id: str,
-    lines: Iterable[Line],
+    lines: Iterable[LogRecord],
     around_seconds: float,
-) -> list[Line]:
-    """Return the lines of a request and those around it, by their time."""
-    ordered = sorted(lines, key=_time_of)
+) -> list[LogRecord]:
+    """Return the lines of a request and those near it, by timestamp."""
+    ordered = sorted(lines, key=_timestamp_of)
     own = [line for line in ordered if line.get('request_id') == request_id]
     if not own:
         return []
-    begin = _seconds_of(own[0]) - around_seconds
+    start = _seconds_of(own[0]) - around_seconds
     end = _seconds_of(own[-1]) + around_seconds
     nodes = {line.get('node') for line in own}
     return [
         line
         for line in ordered
         if line.get('request_id') == request_id
-        or _is_around(line, nodes, begin, end)
+        or _is_nearby(line, nodes, start, end)
     ]
 
 
-def _is_around(
-    line: Line,
+def _is_nearby(
+    line: LogRecord,
     nodes: set[Any],
-    begin: float,
+    start: float,
     end: float,
 ) -> bool:
     if line.get('request_id') or line.get('node') not in nodes:
         return False
-    return begin <= _seconds_of(line) <= end
+    return start <= _seconds_of(line) <= end
 
 
-def _time_of(line: Line) -> str:
+def _timestamp_of(line: LogRecord) -> str:
     return str(line['timestamp'])
 
 
-def _seconds_of(line: Line) -> float:
-    """Return the time of day of a line, in seconds."""
-    clock = _time_of(line)[_CLOCK_START:]
+def _seconds_of(line: LogRecord) -> float:
+    """Return the time of day of a log line, in seconds."""
+    clock = _timestamp_of(line)[_CLOCK_START:]
     parts = clock.partition('+')[0].split(':')
     hours, minutes, seconds = map(float, parts)
     return hours * _HOUR_SECONDS + minutes * _MINUTE_SECONDS + seconds
 
 
-def _show(request_id: str, lines: list[Line]) -> None:
+def _show(request_id: str, lines: list[LogRecord]) -> None:
     if not lines:
         write_line(
-            f'no line names {request_id}; it was answered as usual, or its '
-            'line was held back by records_per_second',
+            f'no log line mentions {request_id}; it was answered without an '
+            'event worth logging, or records_per_second suppressed its lines',
         )
     for line in lines:
         is_own = line.get('request_id') == request_id
-        write_line(f'{"*" if is_own else " "} {_shown(line)}')
+        write_line(f'{"*" if is_own else " "} {_format_line(line)}')
 
 
-def _shown(line: Line) -> str:
-    clock = _time_of(line)[_CLOCK_START:_CLOCK_END]
+def _format_line(line: LogRecord) -> str:
+    clock = _timestamp_of(line)[_CLOCK_START:_CLOCK_END]
     fields = ' '.join(
         f'{name}={text}'
         for name, text in line.items()
-        if name not in _SHOWN_APART
+        if name not in _EXCLUDED_FIELDS
     )
     return f'{clock} {line.get("node")}: {line.get("message")} {fields}'
 
@@ -141,7 +148,7 @@
     DEFINE_float(
         'around_seconds',
         _AROUND_SECONDS,
-        'How long before and after a request other lines are shown.',
+        'Seconds before and after the request to include other lines.',
         flag_values=values,
     )
 
@@ -150,7 +157,7 @@
     Command(
         name='',
         arguments='ID FILE...',
-        summary='Tell from collected logs what became of a request.',
+        summary='Show the log lines that explain the outcome of a request.',
         example='9c41d07be2a35f68 logs/*.jsonl',
         define=_define,
         run=explain,
--- a/src/lovageshunt/cli/_node.py
+++ b/src/lovageshunt/cli/_node.py
@@ -18,7 +18,7 @@
     DEFINE_string(
         'settings',
         'node.ini',
-        'The settings file of this node.',
+        'Path of the settings file of this node.',
         flag_values=values,
     )
 
@@ -26,8 +26,8 @@
 def _run(arguments: Sequence[str], values: FlagValues) -> ExitCode:
     settings = load_node_settings(Path(values.settings))
     if settings.is_error():
-        for fault in settings.error:
-            write_error(str(fault))
+        for problem in settings.error:
+            write_error(str(problem))
         return ExitCode.FAULTS
     logs = settings.ok.logs
     limit = configure_logs(logs.level.upper(), int(logs.records_per_second))
@@ -38,14 +38,17 @@
         write_error(str(error))
         return ExitCode.FAULTS
     except OSError as error:
-        write_error(f'{error}; see that files and addresses are right')
+        write_error(
+            f'node stopped: {error}; check the files and addresses in the '
+            'settings',
+        )
         return ExitCode.FAILED
 
 
 COMMANDS: Final = (
     Command(
         name='',
-        summary='Run the node beside a target, until a signal stops it.',
+        summary='Run the node beside a target until SIGTERM or SIGINT.',
         example='--settings=examples/nahr-labs/node.ini',
         run=_run,
         define=_define,
--- a/src/lovageshunt/cli/_nodes.py
+++ b/src/lovageshunt/cli/_nodes.py
@@ -1,4 +1,4 @@
-"""Asking the admin sides of many nodes at once."""
+"""Concurrent HTTP requests to the admin APIs of nodes."""
 
 from asyncio import Semaphore, gather
 from collections.abc import Sequence
@@ -11,15 +11,17 @@
 from lovageshunt._record import Record
 from lovageshunt.errors import NodeAnswerError
 
-#: Nodes asked at one moment.
-_MAX_CONCURRENT: Final = 64
-#: A longer answer is refused.
+_MAX_CONCURRENT_REQUESTS: Final = 64
+#: A longer answer is an error.
 _MAX_ANSWER_BYTES: Final = 4 * 1024 * 1024
 _OK: Final = 200
 
 
 class NodeAnswer(Record):
-    """What one node's admin side answered, or why it did not."""
+    """The JSON object that a node answered, or the error.
+
+    ``body`` is empty when ``error`` is set.
+    """
 
     __slots__ = ('address', 'body', 'error')
 
@@ -30,14 +32,17 @@
         body: dict[str, Any] | None = None,
         error: NodeAnswerError | None = None,
     ) -> None:
-        """Take the address and either of the two others."""
         self.address = address
         self.body = body or {}
         self.error = error
 
 
 class AdminAccess(Record):
-    """How to reach admin sides: token, TLS, timeout."""
+    """How to reach admin APIs.
+
+    An empty ``token`` sends no authorization; without ``tls`` plain HTTP is
+    used; ``timeout_seconds`` covers one whole request.
+    """
 
     __slots__ = ('token', 'tls', 'timeout_seconds')
 
@@ -48,26 +53,27 @@
         tls: SSLContext | None,
         timeout_seconds: float,
     ) -> None:
-        """Use plain HTTP when there is no TLS."""
         self.token = token
         self.tls = tls
         self.timeout_seconds = timeout_seconds
 
     @property
     def scheme(self) -> str:
-        """Return the scheme of the nodes' URLs."""
+        """URL scheme, ``http`` or ``https``."""
         return 'http' if self.tls is None else 'https'
 
     @property
     def headers(self) -> dict[str, str]:
-        """Return the headers of each request."""
+        """Headers sent with each request."""
         if not self.token:
             return {}
         return {'authorization': f'Bearer {self.token}'}
 
     def connector(self) -> TCPConnector:
-        """Return what makes the connections, inside a running loop."""
-        return TCPConnector(limit=_MAX_CONCURRENT, ssl=self.tls or True)
+        """Return a new connector; needs a running event loop."""
+        return TCPConnector(
+            limit=_MAX_CONCURRENT_REQUESTS, ssl=self.tls or True
+        )
 
 
 async def fetch_all(
@@ -75,30 +81,40 @@
     path: str,
     access: AdminAccess,
 ) -> list[NodeAnswer]:
-    """Return one answer for each address, in their order."""
-    free = Semaphore(_MAX_CONCURRENT)
+    """Request a path from all nodes; return answers in address order.
+
+    A failed request gives an answer with ``error``; nothing is raised.
+    """
+    semaphore = Semaphore(_MAX_CONCURRENT_REQUESTS)
     async with ClientSession(
         connector=access.connector(),
         headers=access.headers,
         timeout=ClientTimeout(total=access.timeout_seconds),
     ) as session:
-        asked = [
-            _fetch(session, free, address, f'{access.scheme}://{address}{path}')
+        fetches = [
+            _fetch(
+                session,
+                semaphore,
+                address,
+                f'{access.scheme}://{address}{path}',
+            )
             for address in addresses
         ]
-        return await gather(*asked)
+        return await gather(*fetches)
 
 
 async def _fetch(
     session: ClientSession,
-    free: Semaphore,
+    semaphore: Semaphore,
     address: str,
     url: str,
 ) -> NodeAnswer:
-    # The timeout starts once the request does, not while it waits its turn.
-    async with free:
+    # Acquired first, so that queueing does not count against the timeout.
+    async with semaphore:
         try:
-            return NodeAnswer(address=address, body=await _body(session, url))
+            return NodeAnswer(
+                address=address, body=await _get_body(session, url)
+            )
         except (ClientError, OSError, ValueError) as error:
             reason = str(error) or type(error).__name__
             return NodeAnswer(
@@ -107,16 +123,16 @@
             )
 
 
-async def _body(session: ClientSession, url: str) -> dict[str, Any]:
+async def _get_body(session: ClientSession, url: str) -> dict[str, Any]:
     async with session.get(url, allow_redirects=False) as response:
         if response.status != _OK:
-            raise ValueError(f'status {response.status}')
+            raise ValueError(f'expected status {_OK}, got {response.status}')
         raw = bytearray()
         async for chunk in response.content.iter_any():
             raw += chunk
             if len(raw) > _MAX_ANSWER_BYTES:
-                raise ValueError(f'longer than {_MAX_ANSWER_BYTES} bytes')
+                raise ValueError(f'answer exceeds {_MAX_ANSWER_BYTES} bytes')
     body = orjson.loads(raw)
     if not isinstance(body, dict):
-        raise ValueError('the answer is no JSON object')
+        raise ValueError('expected a JSON object as the answer')
     return body
--- a/src/lovageshunt/cli/_rules.py
+++ b/src/lovageshunt/cli/_rules.py
@@ -1,4 +1,4 @@
-"""Commands on rules: check, compare and accept sheets; ask the nodes."""
+"""Commands that check, compare and accept rules and show their status."""
 
 import sys
 from collections.abc import Sequence
@@ -31,9 +31,9 @@
 
 
 def check(arguments: Sequence[str], values: FlagValues) -> ExitCode:
-    """Report every fault of a sheet."""
+    """Check a sheet and report all of its faults."""
     if len(arguments) != 1:
-        return _refuse_arguments('one sheet')
+        return _report_wrong_arguments('one sheet')
     match read_sheet(arguments[0], values, today=None):
         case Result(tag='ok', ok=sheet):
             show_document(sheet.document, values)
@@ -44,16 +44,16 @@
 
 
 def diff(arguments: Sequence[str], values: FlagValues) -> ExitCode:
-    """Show what a second sheet or document changes."""
+    """Show the differences between two sheets or documents."""
     if len(arguments) != 2:
-        return _refuse_arguments('an old and a new sheet or document')
+        return _report_wrong_arguments('an old and a new sheet or document')
     documents: list[RulesDocument] = []
     for name in arguments:
         match read_document(name, values):
             case Result(tag='ok', ok=document):
                 documents.append(document)
             case Result(error=faults):
-                write_error(f'{name} has faults')
+                write_error(f'{name} is invalid; its faults are listed below')
                 show_faults(faults, values)
                 return ExitCode.FAULTS
     show_changes(changes_between(documents[0], documents[1]), values)
@@ -61,9 +61,9 @@
 
 
 def accept(arguments: Sequence[str], values: FlagValues) -> ExitCode:
-    """Make the document that the operators then publish."""
+    """Create the document that operators publish from a sheet."""
     if len(arguments) != 1:
-        return _refuse_arguments('one sheet')
+        return _report_wrong_arguments('one sheet')
     accepted = read_sheet(arguments[0], values, today=date.today()).bind(
         lambda sheet: _check_generation(sheet, values),
     )
@@ -76,9 +76,9 @@
 
 
 def status(arguments: Sequence[str], values: FlagValues) -> ExitCode:
-    """Ask nodes which rules they serve under, and name those that lag."""
+    """Show the rules in force at each node and mark outdated nodes."""
     if arguments:
-        return _refuse_arguments('flags only')
+        return _report_wrong_arguments('flags only')
     module = import_module('lovageshunt.cli._rules_status')
     code: ExitCode = module.show_status(values)
     return code
@@ -108,7 +108,7 @@
             column='generation',
             value=str(new.generation),
             expected=f'a generation above {in_force.generation}',
-            remedy="export today's sheet, or raise its generation",
+            remedy='export the current sheet, or raise its generation',
         )
         faults.append(fault)
     if new.deployment != in_force.deployment:
@@ -117,7 +117,7 @@
             column='deployment',
             value=new.deployment,
             expected=in_force.deployment,
-            remedy='take the sheet of this deployment',
+            remedy='use a sheet of the deployment in force',
         )
         faults.append(fault)
     return Error(faults) if faults else Ok(sheet)
@@ -132,13 +132,13 @@
     try:
         Path(name).write_bytes(raw)
     except OSError as error:
-        write_error(f'{name} cannot be written ({error}); choose another')
+        write_error(f'cannot write --out {name} ({error}); choose another path')
         return ExitCode.FAILED
     show_document(document, values)
     return ExitCode.FINE
 
 
-def _refuse_arguments(expected: str) -> ExitCode:
+def _report_wrong_arguments(expected: str) -> ExitCode:
     write_error(f'expected {expected}; see --help')
     return ExitCode.FAULTS
 
@@ -147,7 +147,7 @@
     DEFINE_list(
         'services',
         None,
-        'The services of the deployment; a rule for another is a fault.',
+        'Services of the deployment; rules for others are faults.',
         flag_values=values,
     )
 
@@ -157,27 +157,27 @@
     DEFINE_string(
         'in-force',
         None,
-        'The sheet or document in force; the new one must be newer.',
+        'Sheet or document in force; its generation must be lower.',
         flag_values=values,
     )
     DEFINE_string(
         'out',
         None,
-        'Where the document is written; standard output without it.',
+        'Output file of the document; default is standard output.',
         flag_values=values,
     )
 
 
 def _define_status(values: FlagValues) -> None:
-    # The HTTP library is loaded only for the command that needs it.
-    import_module('lovageshunt.cli._ask').define_nodes(values)
+    # Imported here, so that the other commands load no HTTP library.
+    import_module('lovageshunt.cli._ask').define_node_flags(values)
 
 
 COMMANDS: Final = (
     Command(
         name='check',
         arguments='SHEET',
-        summary='Report every fault of a sheet.',
+        summary='Check a sheet and report all of its faults.',
         example='examples/nahr-labs/rules.csv',
         define=_define_services,
         run=check,
@@ -185,7 +185,7 @@
     Command(
         name='diff',
         arguments='OLD NEW',
-        summary='Show what a second sheet or document changes.',
+        summary='Show the differences between two sheets or documents.',
         example='in-force.json examples/nahr-labs/rules.csv',
         define=_define_services,
         run=diff,
@@ -193,14 +193,14 @@
     Command(
         name='accept',
         arguments='SHEET',
-        summary='Make the document that operators publish from a sheet.',
+        summary='Create the document that operators publish from a sheet.',
         example='rules.csv --in-force=in-force.json --out=next.json',
         define=_define_accept,
         run=accept,
     ),
     Command(
         name='status',
-        summary='Show the rules in force at each node, and who lags.',
+        summary='Show the rules in force at each node; mark outdated nodes.',
         example='--nodes=127.0.0.1:8102,127.0.0.1:8202',
         define=_define_status,
         run=status,
--- a/src/lovageshunt/cli/_rules_diff.py
+++ b/src/lovageshunt/cli/_rules_diff.py
@@ -1,4 +1,4 @@
-"""What one document changes of another, field by field."""
+"""Field-by-field comparison of two rules documents."""
 
 from typing import Any
 
@@ -9,7 +9,11 @@
 
 
 class RuleChange(Record):
-    """One field of one rule that differs; ``field`` is empty for a rule."""
+    """One difference between two documents.
+
+    ``field`` is empty when the rule itself was added or removed; ``old`` and
+    ``new`` are then ``present`` or ``absent``.
+    """
 
     __slots__ = ('service', 'kind', 'field', 'old', 'new')
 
@@ -22,7 +26,6 @@
         old: str,
         new: str,
     ) -> None:
-        """Take every field by name."""
         self.service = service
         self.kind = kind
         self.field = field
@@ -31,14 +34,14 @@
 
 
 def changes_between(old: RulesDocument, new: RulesDocument) -> list[RuleChange]:
-    """Return the changes, by service, kind and field."""
+    """Return the differences, sorted by service and kind."""
     old_by_key = _fields_by_key(old)
     new_by_key = _fields_by_key(new)
     changes: list[RuleChange] = []
     for key in sorted(old_by_key.keys() | new_by_key.keys()):
-        before = old_by_key.get(key, {})
-        after = new_by_key.get(key, {})
-        changes.extend(_rule_changes(key, before, after))
+        old_fields = old_by_key.get(key, {})
+        new_fields = new_by_key.get(key, {})
+        changes.extend(_rule_changes(key, old_fields, new_fields))
     return changes
 
 
@@ -52,17 +55,17 @@
 
 def _rule_changes(
     key: tuple[str, str],
-    before: _Fields,
-    after: _Fields,
+    old_fields: _Fields,
+    new_fields: _Fields,
 ) -> list[RuleChange]:
     service, kind = key
-    if not before or not after:
+    if not old_fields or not new_fields:
         change = RuleChange(
             service=service,
             kind=kind,
             field='',
-            old='present' if before else 'absent',
-            new='present' if after else 'absent',
+            old='present' if old_fields else 'absent',
+            new='present' if new_fields else 'absent',
         )
         return [change]
     return [
@@ -70,9 +73,9 @@
             service=service,
             kind=kind,
             field=field,
-            old=str(before[field]),
-            new=str(after[field]),
+            old=str(old_fields[field]),
+            new=str(new_fields[field]),
         )
-        for field in before
-        if before[field] != after[field]
+        for field in old_fields
+        if old_fields[field] != new_fields[field]
     ]
--- a/src/lovageshunt/cli/_rules_read.py
+++ b/src/lovageshunt/cli/_rules_read.py
@@ -1,4 +1,4 @@
-"""Reads the files that commands on rules are given."""
+"""Reads the sheets and documents given to the rules commands."""
 
 from datetime import date
 from pathlib import Path
@@ -15,7 +15,7 @@
     parse_sheet,
 )
 
-_DOCUMENT_START: Final = b'{'
+_JSON_OBJECT_START: Final = b'{'
 
 
 def read_sheet(
@@ -34,18 +34,18 @@
     name: str,
     values: FlagValues,
 ) -> Result[RulesDocument, list[SheetFault]]:
-    """Return the document in a file that holds one, or a sheet."""
+    """Return the document from a file with a document or a sheet."""
     return _read_file(name).bind(
-        lambda raw: _document_of(name, raw, values),
+        lambda raw: _decode(name, raw, values),
     )
 
 
-def _document_of(
+def _decode(
     name: str,
     raw: bytes,
     values: FlagValues,
 ) -> Result[RulesDocument, list[SheetFault]]:
-    if raw.startswith(_DOCUMENT_START):
+    if raw.startswith(_JSON_OBJECT_START):
         return decode_document(raw).map_error(
             lambda error: [_file_fault(name, str(error))],
         )
@@ -66,6 +66,6 @@
         row=0,
         column='file',
         value=name,
-        expected='a sheet or a document that can be read',
+        expected='a readable sheet or document',
         remedy=reason,
     )
--- a/src/lovageshunt/cli/_rules_show.py
+++ b/src/lovageshunt/cli/_rules_show.py
@@ -1,4 +1,4 @@
-"""Shows documents, faults and changes, to people or to programs."""
+"""Prints documents, faults and changes as text or JSON."""
 
 from absl.flags import FlagValues
 
@@ -8,7 +8,7 @@
 
 
 def show_document(document: RulesDocument, values: FlagValues) -> None:
-    """Show that a document has no faults, and what it holds."""
+    """Print a summary of a valid document."""
     kinds = sum(len(rules.by_kind) for rules in document.by_service.values())
     if values.json:
         write_json(
@@ -30,7 +30,7 @@
 
 
 def show_faults(faults: list[SheetFault], values: FlagValues) -> None:
-    """Show every fault."""
+    """Print faults as a table, or as JSON with ``--json``."""
     if values.json:
         write_json({'faults': [fault.as_dict() for fault in faults]})
         return
@@ -50,7 +50,7 @@
 
 
 def show_changes(changes: list[RuleChange], values: FlagValues) -> None:
-    """Show every change."""
+    """Print changes as a table, or as JSON with ``--json``."""
     if values.json:
         write_json({'changes': [change.as_dict() for change in changes]})
         return
--- a/src/lovageshunt/cli/_rules_status.py
+++ b/src/lovageshunt/cli/_rules_status.py
@@ -1,4 +1,4 @@
-"""Asks nodes over HTTP which rules they serve under."""
+"""Shows which version of the rules is in force at each node."""
 
 from collections.abc import Sequence
 from typing import Any, Final
@@ -7,7 +7,7 @@
 from expression import Result
 
 from lovageshunt._record import Record
-from lovageshunt.cli._ask import ask_nodes
+from lovageshunt.cli._ask import query_nodes
 from lovageshunt.cli._command import (
     ExitCode,
     write_error,
@@ -17,12 +17,17 @@
 from lovageshunt.cli._nodes import NodeAnswer
 from lovageshunt.rules import Version
 
-_PATH: Final = '/v1/rules'
+_RULES_PATH: Final = '/v1/rules'
 _NONE: Final = '-'
 
 
 class NodeRules(Record):
-    """What one node answered; ``problem`` says why it is no answer."""
+    """The rules in force at one node.
+
+    ``version`` is ``None`` when no rules are in force; ``conflicts`` counts
+    conflicting documents; ``problem`` is empty, the reason why the answer is
+    missing or unreadable, or ``lags`` for an outdated version.
+    """
 
     __slots__ = (
         'address',
@@ -43,7 +48,6 @@
         conflicts: int = 0,
         problem: str = '',
     ) -> None:
-        """Take every field by name."""
         self.address = address
         self.node = node
         self.version = version
@@ -53,19 +57,19 @@
 
 
 def show_status(values: FlagValues) -> ExitCode:
-    """Ask the nodes and show their rules; fail when any lags."""
-    match ask_nodes(_PATH, values):
+    """Print the rules of all nodes; fail if any has a problem."""
+    match query_nodes(_RULES_PATH, values):
         case Result(tag='ok', ok=answers):
             return _show([read_answer(answer) for answer in answers], values)
-        case Result(error=complaint):
-            write_error(complaint)
+        case Result(error=problem):
+            write_error(problem)
     return ExitCode.FAULTS
 
 
 def _show(answers: list[NodeRules], values: FlagValues) -> ExitCode:
-    mark_laggards(answers)
+    mark_outdated(answers)
     if values.json:
-        write_json([_content_of(answer) for answer in answers])
+        write_json([_json_fields(answer) for answer in answers])
     else:
         write_table(
             (
@@ -78,35 +82,35 @@
                 'conflicts',
                 'problem',
             ),
-            [_row_of(answer) for answer in answers],
+            [_table_row(answer) for answer in answers],
         )
     if any(answer.problem for answer in answers):
         return ExitCode.FAILED
     return ExitCode.FINE
 
 
-def mark_laggards(answers: Sequence[NodeRules]) -> None:
-    """Note at each node that serves under less than the greatest version."""
+def mark_outdated(answers: Sequence[NodeRules]) -> None:
+    """Set ``problem`` on nodes without the newest version seen."""
     versions = [answer.version for answer in answers if answer.version]
-    greatest = max(versions, default=None)
+    newest = max(versions, default=None)
     for answer in answers:
-        if answer.problem or answer.version == greatest:
+        if answer.problem or answer.version == newest:
             continue
         answer.problem = 'lags'
 
 
 def read_answer(answer: NodeAnswer) -> NodeRules:
-    """Return the rules that a node answered, or the problem with it."""
+    """Parse a node's answer; ``problem`` is set if that fails."""
     if answer.error is not None:
         return NodeRules(address=answer.address, problem=str(answer.error))
     try:
-        return _answer_of(answer.address, answer.body)
+        return _parse_body(answer.address, answer.body)
     except (KeyError, TypeError, ValueError) as error:
         problem = f'unreadable: {error!r}'
         return NodeRules(address=answer.address, problem=problem)
 
 
-def _answer_of(address: str, content: dict[str, Any]) -> NodeRules:
+def _parse_body(address: str, content: dict[str, Any]) -> NodeRules:
     version = None
     if content['version'] is not None:
         version = Version(
@@ -123,14 +127,14 @@
     )
 
 
-def _content_of(answer: NodeRules) -> dict[str, Any]:
+def _json_fields(answer: NodeRules) -> dict[str, Any]:
     content = answer.as_dict()
     if answer.version is not None:
         content['version'] = answer.version.as_dict()
     return content
 
 
-def _row_of(answer: NodeRules) -> tuple[str, ...]:
+def _table_row(answer: NodeRules) -> tuple[str, ...]:
     version = (_NONE, _NONE, _NONE)
     if answer.version is not None:
         version = (
--- a/src/lovageshunt/cli/_status.py
+++ b/src/lovageshunt/cli/_status.py
@@ -1,4 +1,4 @@
-"""The command that shows a deployment at a glance."""
+"""The command that shows the status of all nodes."""
 
 from collections import defaultdict
 from collections.abc import Sequence
@@ -10,7 +10,7 @@
 
 from lovageshunt.admission import OPEN_THRESHOLD
 from lovageshunt.calls import RANK_COUNT
-from lovageshunt.cli._ask import ask_nodes, define_nodes
+from lovageshunt.cli._ask import define_node_flags, query_nodes
 from lovageshunt.cli._command import (
     Command,
     ExitCode,
@@ -21,11 +21,11 @@
 )
 from lovageshunt.cli._nodes import NodeAnswer
 
-#: What a node's admin side answered.
+#: The JSON object of a node's status.
 _Body = dict[str, Any]
 
-_PATH: Final = '/v1/status'
-#: Column headers and the fields of the status that they show.
+_STATUS_PATH: Final = '/v1/status'
+#: Fields of the status by column header, in column order.
 _FIELD_BY_HEADER: Final = MappingProxyType(
     {
         'node': 'node',
@@ -44,20 +44,20 @@
     },
 )
 _NONE: Final = '-'
-#: Shown for the threshold of a target that refuses nothing for its load.
+#: Shown as the threshold when no importance is refused.
 _OPEN: Final = 'open'
 
 
 def status(arguments: Sequence[str], values: FlagValues) -> ExitCode:
-    """Show each node once; fail when one gives no answer."""
+    """Print one row per node; fail if any node does not answer."""
     if arguments:
-        write_error('expected flags only; see --help')
+        write_error('expected flags only, got other arguments; see --help')
         return ExitCode.FAULTS
-    match ask_nodes(_PATH, values):
+    match query_nodes(_STATUS_PATH, values):
         case Result(tag='ok', ok=answers):
             _show(answers, values)
-        case Result(error=fault):
-            write_error(fault)
+        case Result(error=problem):
+            write_error(problem)
             return ExitCode.FAULTS
     if any(answer.error for answer in answers):
         return ExitCode.FAILED
@@ -66,26 +66,26 @@
 
 def _show(answers: list[NodeAnswer], values: FlagValues) -> None:
     if values.json:
-        write_json([_content_of(answer) for answer in answers])
+        write_json([_json_fields(answer) for answer in answers])
         return
     bodies = [answer.body for answer in answers if not answer.error]
-    write_table(tuple(_FIELD_BY_HEADER), map(_row_of, bodies))
-    for name, witnesses in _leaving_members(bodies).items():
-        write_line(f'leaving: {name}, as {", ".join(witnesses)} has it')
+    write_table(tuple(_FIELD_BY_HEADER), map(_table_row, bodies))
+    for name, reporters in _leaving_members(bodies).items():
+        write_line(f'leaving: {name}, reported by {", ".join(reporters)}')
     for answer in answers:
         if answer.error:
             write_line(str(answer.error))
 
 
-def _row_of(body: _Body) -> list[str]:
-    threshold = _shown_threshold(body.get('threshold'))
-    shown = {**body, 'threshold': threshold}
+def _table_row(body: _Body) -> list[str]:
+    threshold = _format_threshold(body.get('threshold'))
+    cells = {**body, 'threshold': threshold}
     fields = _FIELD_BY_HEADER.values()
-    return [str(shown.get(field, _NONE)) for field in fields]
+    return [str(cells.get(field, _NONE)) for field in fields]
 
 
-def _shown_threshold(threshold: Any) -> str:
-    """Return the importance from which calls are refused, in hundredths."""
+def _format_threshold(threshold: Any) -> str:
+    """Format the lowest refused importance with two decimals."""
     if not isinstance(threshold, int):
         return _NONE
     if threshold >= OPEN_THRESHOLD:
@@ -94,16 +94,16 @@
 
 
 def _leaving_members(bodies: list[_Body]) -> dict[str, list[str]]:
-    """Return who has each leaving member as leaving, by the member's name."""
-    witnesses_by_name: defaultdict[str, list[str]] = defaultdict(list)
+    """Return the nodes that report a member as leaving, by member name."""
+    reporters_by_name: defaultdict[str, list[str]] = defaultdict(list)
     for body in bodies:
-        witness = str(body.get('node', _NONE))
-        for name in _leaving_at(body):
-            witnesses_by_name[name].append(witness)
-    return witnesses_by_name
+        reporter = str(body.get('node', _NONE))
+        for name in _leaving_names(body):
+            reporters_by_name[name].append(reporter)
+    return reporters_by_name
 
 
-def _leaving_at(body: _Body) -> list[str]:
+def _leaving_names(body: _Body) -> list[str]:
     members_by_service = body.get('members')
     if not isinstance(members_by_service, dict):
         return []
@@ -115,7 +115,7 @@
     ]
 
 
-def _content_of(answer: NodeAnswer) -> _Body:
+def _json_fields(answer: NodeAnswer) -> _Body:
     if answer.error:
         return {'address': answer.address, 'error': str(answer.error)}
     return {'address': answer.address, **answer.body}
@@ -126,7 +126,7 @@
         name='',
         summary='Show targets, limits, refusals, thresholds and rules.',
         example='--nodes=127.0.0.1:8102,127.0.0.1:8202',
-        define=define_nodes,
+        define=define_node_flags,
         run=status,
     ),
 )
--- a/src/lovageshunt/cli/_top.py
+++ b/src/lovageshunt/cli/_top.py
@@ -1,4 +1,4 @@
-"""The command that shows the status again and again."""
+"""The command that shows the status repeatedly."""
 
 import time
 from collections.abc import Sequence
@@ -8,13 +8,13 @@
 
 from absl.flags import DEFINE_float, DEFINE_integer, FlagValues
 
-from lovageshunt.cli._ask import define_nodes
+from lovageshunt.cli._ask import define_node_flags
 from lovageshunt.cli._command import Command, ExitCode
 from lovageshunt.cli._status import status
 
 
 def top(arguments: Sequence[str], values: FlagValues) -> ExitCode:
-    """Show the status until it was shown often enough or is interrupted."""
+    """Print the status ``--count`` times or until interrupted."""
     code = ExitCode.FINE
     with suppress(KeyboardInterrupt):
         for shown in count(1):
@@ -26,18 +26,18 @@
 
 
 def _define(values: FlagValues) -> None:
-    define_nodes(values)
+    define_node_flags(values)
     DEFINE_float(
         'interval-seconds',
         2,
-        'Time between two showings.',
+        'Seconds between two refreshes.',
         lower_bound=0.01,
         flag_values=values,
     )
     DEFINE_integer(
         'count',
         0,
-        'How often to show; 0 goes on until interrupted.',
+        'Number of refreshes; 0 repeats until interrupted.',
         lower_bound=0,
         flag_values=values,
     )
@@ -46,7 +46,7 @@
 COMMANDS: Final = (
     Command(
         name='',
-        summary='Show the status again and again.',
+        summary='Show the status repeatedly.',
         example='--nodes=127.0.0.1:8102 --interval-seconds=1 --count=2',
         define=_define,
         run=top,
--- a/src/lovageshunt/cli/_trace.py
+++ b/src/lovageshunt/cli/_trace.py
@@ -1,4 +1,4 @@
-"""The command that prints the tree of a trace."""
+"""The command that prints the spans of a request as a tree."""
 
 import re
 from collections.abc import Sequence
@@ -7,7 +7,7 @@
 from absl.flags import FlagValues
 from expression import Result
 
-from lovageshunt.cli._ask import ask_nodes, define_nodes
+from lovageshunt.cli._ask import define_node_flags, query_nodes
 from lovageshunt.cli._command import (
     Command,
     ExitCode,
@@ -23,19 +23,19 @@
 )
 from lovageshunt.observability import SpanRecord, decode_span, trace_tree
 
-_ID: Final = re.compile('[A-Za-z0-9_.:-]+')
+_ID_PATTERN: Final = re.compile('[A-Za-z0-9_.:-]+')
 
 
 def trace(arguments: Sequence[str], values: FlagValues) -> ExitCode:
-    """Print the spans of one request, joined across the nodes."""
-    if len(arguments) != 1 or not _ID.fullmatch(arguments[0]):
-        write_error('expected one trace id or request id; see --help')
+    """Print the spans of one request, merged from all nodes."""
+    if len(arguments) != 1 or not _ID_PATTERN.fullmatch(arguments[0]):
+        write_error('expected exactly one trace id or request id; see --help')
         return ExitCode.FAULTS
-    match ask_nodes(f'/v1/traces/{arguments[0]}', values):
+    match query_nodes(f'/v1/traces/{arguments[0]}', values):
         case Result(tag='ok', ok=answers):
-            spans, errors = _spans_of(answers)
-        case Result(error=fault):
-            write_error(fault)
+            spans, errors = _decode_spans(answers)
+        case Result(error=problem):
+            write_error(problem)
             return ExitCode.FAULTS
     if values.json:
         write_json({'spans': [span.as_dict() for span in spans]})
@@ -46,7 +46,7 @@
     return ExitCode.FINE if spans and not errors else ExitCode.FAILED
 
 
-def _spans_of(
+def _decode_spans(
     answers: list[NodeAnswer],
 ) -> tuple[list[SpanRecord], list[LovageshuntError]]:
     spans: list[SpanRecord] = []
@@ -62,13 +62,13 @@
     return spans, errors
 
 
-def _show(spans: list[SpanRecord], some_id: str) -> None:
+def _show(spans: list[SpanRecord], queried_id: str) -> None:
     for line in trace_tree(spans):
         write_line(line)
     if not spans:
         write_line(
-            f'no node keeps a span of {some_id}; it was not sampled, or it is '
-            'too old',
+            f'no node has a span of {queried_id}; it was not sampled, or its '
+            'spans have expired',
         )
 
 
@@ -76,9 +76,9 @@
     Command(
         name='',
         arguments='ID',
-        summary='Show the spans of one request, by its id or its trace id.',
+        summary='Show the spans of one request, by request id or trace id.',
         example='0af7651916cd43dd8448eb211c80319c --nodes=127.0.0.1:8102',
-        define=define_nodes,
+        define=define_node_flags,
         run=trace,
     ),
 )
--- a/tests/cli/admin_server.py
+++ b/tests/cli/admin_server.py
@@ -1,4 +1,4 @@
-"""A small admin side with canned answers, for tests of commands."""
+"""A fake admin API with canned answers."""
 
 from contextlib import contextmanager
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
@@ -9,7 +9,7 @@
 
 
 class AdminServer(ThreadingHTTPServer):
-    """Serve bodies by path at loopback, to those who send the token."""
+    """Serves bodies by path on loopback; requires the token if one is set."""
 
     def __init__(self, body_by_path, token):
         super().__init__(('127.0.0.1', 0), _Handler)
@@ -19,7 +19,6 @@
 
 class _Handler(BaseHTTPRequestHandler):
     def do_GET(self):
-        """Answer with the body of the path."""
         if self.headers.get('authorization') != self.server.authorization:
             self.send_error(401)
             return
@@ -34,12 +33,12 @@
         self.wfile.write(raw)
 
     def log_message(self, *args):
-        """Stay silent."""
+        """Keep requests out of the test output."""
 
 
 @contextmanager
 def admin_server(body_by_path, token='', certificate=None):
-    """Serve the bodies and yield the address; by TLS with a certificate."""
+    """Yield the address of a running server; TLS if ``certificate`` is set."""
     with AdminServer(body_by_path, token) as server:
         if certificate is not None:
             tls = SSLContext(PROTOCOL_TLS_SERVER)
--- a/tests/cli/test_account.py
+++ b/tests/cli/test_account.py
@@ -1,4 +1,4 @@
-"""The account command."""
+"""Tests of the account command."""
 
 import orjson
 import pytest
@@ -12,7 +12,7 @@
 
 
 def body_of(node, incarnation='a', kept=()):
-    """Return an admin answer with one call answered and one refused."""
+    """Return an answer that counts one answered and one refused call."""
     account = Account(node, incarnation, 0)
     account.arrived(*CALL)
     account.ended(*CALL, Outcome.ANSWERED, ran=True)
@@ -30,7 +30,7 @@
     """``lovageshunt account``."""
 
     def test_accounts_of_all_nodes_are_summed(self, capsys):
-        """The counts of two nodes are added and the account balances."""
+        """The counts of two nodes are summed, and the account balances."""
         with (
             admin_server({'/v1/account': body_of('n1')}) as one,
             admin_server({'/v1/account': body_of('n2')}) as two,
@@ -43,7 +43,7 @@
         assert report['nodes'][0]['refused_by_reason'] == {'overload': 2}
 
     def test_lost_node_is_named(self, capsys):
-        """A peer's copy of a lost node's account leaves a named hole."""
+        """A hole is reported for a node known only from a peer's copy."""
         lost = body_of('n2', 'old')['account']
         body = body_of('n1', kept=[lost])
         with admin_server({'/v1/account': body}) as address:
@@ -54,7 +54,7 @@
         assert 'hole: n2 old from 1970-01-01T00:01:00Z' in shown
 
     def test_imbalance_is_named_once(self, capsys):
-        """A call that admission has lost is named, not for each copy."""
+        """An imbalance is reported once, although a peer copy repeats it."""
         body = body_of('n1')
         body['account']['lines'][0]['running'] = -1
         body |= {'kept': [body['account']], 'held_by_service': {'balances': 3}}
@@ -67,7 +67,7 @@
         assert shown.count('running = held by admission is off by -4') == 1
 
     def test_callers_are_compared(self, capsys, tmp_path):
-        """A caller's snapshot that contradicts the nodes' is named."""
+        """A contradiction between a caller and the nodes is reported."""
         path = tmp_path / 'phone.json'
         phone = Account('phone', 'a', 0, role=Role.CALLER)
         for _ in range(3):
@@ -83,7 +83,7 @@
         assert 'answered at nodes is off by 2' in capsys.readouterr().out
 
     def test_unreachable_node_is_named(self, capsys):
-        """A node that gives no answer makes the exit code 1."""
+        """A node that does not answer gives exit code 1."""
         code = main(['account', '--nodes=127.0.1:1'])
 
         assert code == 1
@@ -91,7 +91,7 @@
 
     @pytest.mark.parametrize('body', [b'[]', b'{', {'account': 3}, {}])
     def test_malformed_answer_is_named(self, capsys, body):
-        """A node that answers something else makes the exit code 1."""
+        """A malformed answer gives exit code 1."""
         with admin_server({'/v1/account': body}) as address:
             code = main(['account', f'--nodes={address}'])
 
@@ -99,7 +99,7 @@
         assert f'node {address} gave no usable' in capsys.readouterr().out
 
     def test_token_is_sent(self, tmp_path):
-        """The token from the file opens an admin side that wants it."""
+        """The token from the file is accepted by the admin API."""
         token_file = tmp_path / 'token'
         token_file.write_text('secret\n')
         with admin_server({'/v1/account': body_of('n1')}, 'secret') as address:
@@ -110,7 +110,7 @@
         assert code == 0
 
     def test_csv_has_a_row_for_each_cause(self, tmp_path):
-        """The CSV names service, kind, importance, end, why and calls."""
+        """The CSV has service, kind, importance, end, why and calls."""
         path = tmp_path / 'account.csv'
         with admin_server({'/v1/account': body_of('n1')}) as address:
             main(['account', f'--nodes={address}', f'--csv={path}'])
@@ -118,7 +118,7 @@
         assert 'balances,lookup,1,refused,overload,1' in path.read_text()
 
     def test_plot_is_drawn(self, tmp_path):
-        """The plot is written in the format of its ending."""
+        """The plot is written in the format of the file extension."""
         path = tmp_path / 'account.svg'
         with admin_server({'/v1/account': body_of('n1')}) as address:
             main(['account', f'--nodes={address}', f'--plot={path}'])
@@ -127,7 +127,7 @@
 
     @pytest.mark.parametrize('name', ['no/such/folder.csv', 'folder'])
     def test_unwritable_file_is_named(self, capsys, tmp_path, name):
-        """A CSV that cannot be written makes the exit code 1."""
+        """A CSV file that cannot be written gives exit code 1."""
         (tmp_path / 'folder').mkdir()
         path = tmp_path / name
         with admin_server({'/v1/account': body_of('n1')}) as address:
@@ -149,6 +149,6 @@
         ],
     )
     def test_wrong_flags_are_refused(self, capsys, argv):
-        """A wrong flag is named with its remedy."""
+        """An invalid flag gives exit code 2 and an error message."""
         assert main(['account', *argv]) == 2
         assert capsys.readouterr().err
--- a/tests/cli/test_explain.py
+++ b/tests/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""The explain command."""
+"""Tests of the explain command."""
 
 import orjson
 import pytest
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def logs(tmp_path):
-    """Write the logs of three nodes; the first has the bench's prefix."""
+    """Write logs of three nodes; one line has the prefix of the bench."""
     first = tmp_path / 'first.jsonl'
     second = tmp_path / 'second.jsonl'
     first.write_text(
@@ -47,7 +47,7 @@
     """``lovageshunt explain``."""
 
     def test_orders_lines_of_all_nodes(self, logs, capsys):
-        """A request's lines come by time, with what its nodes saw."""
+        """Lines of a request and nearby ones of its nodes come by time."""
         code = main(['explain', 'r', *logs])
 
         shown = capsys.readouterr().out.splitlines()
@@ -60,20 +60,20 @@
         assert 'share=0.4' in shown[0]
         assert [text[0] for text in shown] == [' ', '*', '*']
 
-    def test_prints_for_programs(self, logs, capsys):
-        """With --json the lines are printed as they are."""
+    def test_prints_json(self, logs, capsys):
+        """With --json the log records are printed unchanged."""
         main(['explain', 'r', *logs, '--json'])
 
         printed = orjson.loads(capsys.readouterr().out)
         assert len(printed['lines']) == 3
 
     def test_says_when_no_line_names_it(self, logs, capsys):
-        """A request without a line is said to have none."""
+        """An unknown request gives exit code 1 and a message."""
         assert main(['explain', 'unknown', *logs]) == 1
-        assert 'no line names unknown' in capsys.readouterr().out
+        assert 'no log line mentions unknown' in capsys.readouterr().out
 
     def test_needs_files(self, capsys):
-        """Without a file, or with one that is not there, it says so."""
+        """A missing file argument or file gives exit code 2."""
         assert main(['explain', 'r']) == 2
         assert main(['explain', 'r', '/no/such/file']) == 2
         assert 'files' in capsys.readouterr().err
--- a/tests/cli/test_node.py
+++ b/tests/cli/test_node.py
@@ -1,13 +1,13 @@
-"""The command that runs a node."""
+"""Tests of the command that runs a node."""
 
 from lovageshunt.cli import ExitCode, main
 
 
 class TestNode:
-    """Settings are checked before anything is opened."""
+    """Settings are validated before sockets are opened."""
 
     def test_every_fault_is_named_at_once(self, tmp_path, capsys):
-        """One line per fault: file, section, key, value and remedy."""
+        """Every fault has a line with file, section, key and value."""
         path = tmp_path / 'node.ini'
         path.write_text('[node]\nname = n1\n[listen]\ningress = here\n')
         code = main(['node', f'--settings={path}'])
@@ -21,7 +21,7 @@
         assert any('[platform]' in line for line in lines)
 
     def test_missing_file_is_a_fault(self, tmp_path):
-        """A file that is not there is a fault of the input."""
+        """A missing settings file is invalid input."""
         path = tmp_path / 'none.ini'
 
         assert main(['node', f'--settings={path}']) == ExitCode.FAULTS
--- a/tests/cli/test_rules.py
+++ b/tests/cli/test_rules.py
@@ -1,4 +1,4 @@
-"""The commands on rules."""
+"""Tests of the rules commands."""
 
 import subprocess
 import sys
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def newer(tmp_path):
-    """Return a sheet like the example, one generation later."""
+    """Write the example with the next generation and one changed field."""
     path = tmp_path / 'newer.csv'
     text = SHEET.read_text(encoding='utf-8')
     text = text.replace('generation;1', 'generation;2')
@@ -27,20 +27,20 @@
     """``rules check``."""
 
     def test_sheet_without_faults(self, capsys):
-        """A sheet without faults ends with 0."""
+        """A valid sheet gives exit code 0."""
         assert main(['rules', 'check', str(SHEET)]) == 0
         assert 'no faults' in capsys.readouterr().out
 
     def test_faults(self, capsys):
-        """Faults end with 2 and are listed for programs too."""
-        words = ['rules', 'check', str(SHEET), '--services=payments', '--json']
+        """Faults give exit code 2 and are listed in the JSON output."""
+        argv = ['rules', 'check', str(SHEET), '--services=payments', '--json']
 
-        assert main(words) == 2
+        assert main(argv) == 2
         found = orjson.loads(capsys.readouterr().out)['faults']
         assert {fault['column'] for fault in found} == {'service'}
 
     def test_no_such_file(self, capsys):
-        """A sheet that cannot be read ends with 2."""
+        """An unreadable sheet gives exit code 2."""
         assert main(['rules', 'check', 'no-such-sheet.csv']) == 2
         assert 'no-such-sheet.csv' in capsys.readouterr().out
 
@@ -61,16 +61,16 @@
 
     def test_changed_field(self, newer, capsys):
         """A changed field is shown with both values."""
-        words = ['rules', 'diff', str(SHEET), str(newer), '--json']
+        argv = ['rules', 'diff', str(SHEET), str(newer), '--json']
 
-        assert main(words) == 0
+        assert main(argv) == 0
         changes = orjson.loads(capsys.readouterr().out)['changes']
         assert [(one['old'], one['new']) for one in changes] == [
             ('1500', '2000'),
         ]
 
-    def test_alike(self, capsys):
-        """Two like sheets have no changes."""
+    def test_no_changes(self, capsys):
+        """Identical sheets have no changes."""
         assert main(['rules', 'diff', str(SHEET), str(SHEET)]) == 0
         assert 'no changes' in capsys.readouterr().out
 
@@ -79,11 +79,11 @@
     """``rules accept``."""
 
     def test_newer_is_written(self, newer, tmp_path):
-        """A newer sheet becomes a document."""
+        """A sheet with a higher generation is written as a document."""
         out = tmp_path / 'next.json'
-        words = ['rules', 'accept', str(newer), f'--out={out}']
+        argv = ['rules', 'accept', str(newer), f'--out={out}']
 
-        assert main([*words, f'--in-force={SHEET}']) == 0
+        assert main([*argv, f'--in-force={SHEET}']) == 0
         assert orjson.loads(out.read_bytes())['generation'] == 2
 
     @pytest.mark.parametrize('name', ['nahr-labs', 'despensa'])
@@ -91,28 +91,28 @@
         """An older or equal generation, or another deployment, is refused."""
         out = tmp_path / 'next.json'
         sheet = EXAMPLES / name / 'rules.csv'
-        words = ['rules', 'accept', str(sheet), f'--out={out}']
+        argv = ['rules', 'accept', str(sheet), f'--out={out}']
 
-        assert main([*words, f'--in-force={newer}']) == 2
-        assert main([*words, f'--in-force={SHEET}']) == 2
+        assert main([*argv, f'--in-force={newer}']) == 2
+        assert main([*argv, f'--in-force={SHEET}']) == 2
         assert not out.exists()
 
-    def test_yesterday_is_refused(self, newer, tmp_path):
-        """A sheet with an earlier date row is refused."""
+    def test_outdated_sheet_is_refused(self, newer, tmp_path):
+        """A sheet with a date row in the past is refused."""
         text = newer.read_text(encoding='utf-8')
         newer.write_text(f'date;2020-01-01\n{text}', encoding='utf-8')
 
         assert main(['rules', 'accept', str(newer)]) == 2
 
     def test_cannot_be_written(self, newer, tmp_path):
-        """A document that cannot be written ends with 1."""
+        """A document that cannot be written gives exit code 1."""
         out = tmp_path / 'no' / 'such' / 'folder'
 
         assert main(['rules', 'accept', str(newer), f'--out={out}']) == 1
 
 
 class TestHelp:
-    """Help and wrong command lines."""
+    """Help and invalid command lines."""
 
     @pytest.mark.parametrize('name', ['check', 'diff', 'accept', 'status'])
     def test_shows_an_example(self, name, capsys):
@@ -121,7 +121,7 @@
         assert 'example: lovageshunt rules' in capsys.readouterr().out
 
     @pytest.mark.parametrize(
-        'words',
+        'argv',
         [
             [],
             ['rule'],
@@ -135,6 +135,6 @@
             ['rules', 'check', '--jsn'],
         ],
     )
-    def test_wrong_words(self, words):
-        """A command line that makes no sense ends with 2."""
-        assert main(words) == 2
+    def test_invalid_command_line(self, argv):
+        """An unknown command, argument or flag gives exit code 2."""
+        assert main(argv) == 2
--- a/tests/cli/test_rules_status.py
+++ b/tests/cli/test_rules_status.py
@@ -1,4 +1,4 @@
-"""What nodes answer about their rules."""
+"""Tests of ``rules status`` and of the parsing of its answers."""
 
 import asyncio
 from threading import Thread
@@ -9,7 +9,7 @@
 
 from lovageshunt.cli import main
 from lovageshunt.cli._nodes import NodeAnswer
-from lovageshunt.cli._rules_status import mark_laggards, read_answer
+from lovageshunt.cli._rules_status import mark_outdated, read_answer
 
 ANSWER = {
     'node': 'payments-1',
@@ -20,21 +20,20 @@
 
 
 def read(body):
-    """Return what is made of a body."""
     return read_answer(NodeAnswer(address='127.0.0.1:1', body=body))
 
 
 def answer_of(generation):
-    """Return a node's answer with a generation in force."""
+    """Return the parsed answer of a node with this generation in force."""
     version = {'generation': generation, 'revision': 1, 'digest': 'd'}
     return read({**ANSWER, 'version': version})
 
 
 class TestAnswers:
-    """Answers of single nodes."""
+    """Parsing of answers and detection of outdated nodes."""
 
     def test_is_read(self):
-        """An answer gives the version and how long it is in force."""
+        """The version and how long it has been in force are parsed."""
         answer = read(ANSWER)
 
         assert answer.node == 'payments-1'
@@ -52,22 +51,22 @@
             {**ANSWER, 'in_force_for_seconds': 'long'},
         ],
     )
-    def test_noise_is_a_problem(self, body):
-        """An answer that cannot be read is the node's problem."""
+    def test_malformed_answer_is_a_problem(self, body):
+        """A malformed answer sets ``problem`` and raises nothing."""
         assert read(body).problem
 
-    def test_laggards_are_named(self):
-        """A node under an older version, or under none, lags."""
+    def test_outdated_nodes_are_marked(self):
+        """A node with an older version, or with none, lags."""
         answers = [answer_of(2), answer_of(1), answer_of(2)]
         answers[2].version = None
-        mark_laggards(answers)
+        mark_outdated(answers)
 
         assert [answer.problem for answer in answers] == ['', 'lags', 'lags']
 
 
 @pytest.fixture
 def node_address():
-    """Serve one node's answer on a loop of its own."""
+    """Serve one answer from an event loop in a thread."""
     loop = asyncio.new_event_loop()
     app = web.Application()
 
@@ -92,21 +91,21 @@
     """``rules status``."""
 
     def test_all_in_force(self, node_address, capsys):
-        """Nodes that all serve under one version end with 0."""
+        """Nodes with the same version give exit code 0."""
         assert main(['rules', 'status', f'--nodes={node_address}']) == 0
         assert 'payments-1' in capsys.readouterr().out
 
     def test_silent_node(self, node_address, capsys):
-        """A node that does not answer is named, and ends with 1."""
-        words = ['rules', 'status', f'--nodes={node_address},127.0.0.1:1']
+        """A node that does not answer is reported; the exit code is 1."""
+        argv = ['rules', 'status', f'--nodes={node_address},127.0.0.1:1']
 
-        assert main([*words, '--json']) == 1
+        assert main([*argv, '--json']) == 1
         shown = orjson.loads(capsys.readouterr().out)
         assert [bool(node['problem']) for node in shown] == [False, True]
 
     def test_unreadable_token(self, capsys):
-        """A token file that cannot be read ends with 2."""
-        words = ['rules', 'status', '--nodes=127.0.0.1:1']
+        """An unreadable token file gives exit code 2."""
+        argv = ['rules', 'status', '--nodes=127.0.0.1:1']
 
-        assert main([*words, '--token-file=no-such-file']) == 2
+        assert main([*argv, '--token-file=no-such-file']) == 2
         assert 'no-such-file' in capsys.readouterr().err
--- a/tests/cli/test_status.py
+++ b/tests/cli/test_status.py
@@ -1,4 +1,4 @@
-"""The status commands."""
+"""Tests of the status and top commands."""
 
 import orjson
 
@@ -13,7 +13,7 @@
     """``lovageshunt status``."""
 
     def test_table_has_a_row_for_each_node(self, capsys):
-        """A node's fields stand in its row, unknown ones as a dash."""
+        """A row has the node's fields, and a dash for missing ones."""
         with admin_server({'/v1/status': BODY}) as address:
             code = main(['status', f'--nodes={address}'])
 
@@ -22,8 +22,8 @@
         assert header.split()[:2] == ['node', 'service']
         assert row.split()[:3] == ['n1', 'balances', '-']
 
-    def test_threshold_and_leavers_are_shown(self, capsys):
-        """The threshold is in importances; a leaving VM has its witnesses."""
+    def test_threshold_and_leaving_vms_are_shown(self, capsys):
+        """The threshold is an importance; leaving VMs list their reporters."""
         members = {'records': [{'name': 'vm-7', 'is_leaving': True}]}
         body = {**BODY, 'threshold': 98304, 'members': members}
         with admin_server({'/v1/status': body}) as address:
@@ -31,10 +31,10 @@
 
         shown = capsys.readouterr().out
         assert ' 1.50 ' in shown
-        assert 'leaving: vm-7, as n1 has it' in shown
+        assert 'leaving: vm-7, reported by n1' in shown
 
     def test_nodes_may_come_from_a_file(self, capsys, tmp_path):
-        """Addresses in a file are asked like those in the flag."""
+        """Nodes listed in --nodes-file are queried."""
         path = tmp_path / 'nodes'
         with admin_server({'/v1/status': BODY}) as address:
             path.write_text(f'{address}\n')
@@ -43,8 +43,8 @@
         assert code == 0
         assert 'balances' in capsys.readouterr().out
 
-    def test_nodes_are_asked_by_tls(self, tmp_path):
-        """A node whose certificate the authority vouches for is asked."""
+    def test_nodes_are_queried_by_tls(self, tmp_path):
+        """A node with a certificate of the given authority is queried."""
         authority = Authority(tmp_path, 'authority')
         certificate = authority.certificate('node')
         with admin_server({'/v1/status': BODY}, '', certificate) as address:
@@ -59,7 +59,7 @@
         assert code == 0
 
     def test_unknown_authority_is_refused(self, capsys, tmp_path):
-        """A node whose certificate another authority made gives no answer."""
+        """A node with a certificate of another authority is an error."""
         certificate = Authority(tmp_path, 'authority').certificate('node')
         other = Authority(tmp_path, 'other').path
         with admin_server({'/v1/status': BODY}, '', certificate) as address:
@@ -70,8 +70,8 @@
         assert code == 1
         assert 'CERTIFICATE_VERIFY_FAILED' in capsys.readouterr().out
 
-    def test_authority_that_is_none_is_a_fault(self, capsys, tmp_path):
-        """A file without a certificate is named with its remedy."""
+    def test_malformed_authority_file_is_a_fault(self, capsys, tmp_path):
+        """A file without a certificate gives exit code 2 and a remedy."""
         path = tmp_path / 'authority'
         path.write_text('none')
 
@@ -81,7 +81,7 @@
         assert '--authority-file in PEM' in capsys.readouterr().err
 
     def test_json_names_the_node_without_answer(self, capsys):
-        """A node without an answer is in the JSON, and the exit code 1."""
+        """A node without an answer is in the JSON; the exit code is 1."""
         with admin_server({'/v1/status': BODY}) as address:
             code = main(['status', f'--nodes={address},127.0.1:1', '--json'])
 
@@ -95,7 +95,7 @@
     """``lovageshunt top``."""
 
     def test_status_is_shown_count_times(self, capsys):
-        """The table is printed as often as asked."""
+        """The table is printed ``--count`` times."""
         with admin_server({'/v1/status': BODY}) as address:
             code = main(
                 [
--- a/tests/cli/test_trace.py
+++ b/tests/cli/test_trace.py
@@ -1,4 +1,4 @@
-"""The trace command."""
+"""Tests of the trace command."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def body_of(traces, request_id):
-    """Return an admin answer with the spans of one request."""
+    """Return an answer with the spans of one request."""
     spans = [span.as_dict() for span in traces.recent(request_id)]
     return {'node': 'n', 'incarnation': 'a', 'spans': spans}
 
@@ -19,19 +19,19 @@
 
     def test_tree_is_joined_across_nodes(self, capsys):
         """Spans of two nodes are printed as one tree."""
-        above = Traces(node='n1', share=1.0, slow_seconds=9)
-        below = Traces(node='n2', share=1.0, slow_seconds=9)
-        parent = above.start('balances', request_id='r')
-        child = below.start(
+        upstream = Traces(node='n1', share=1.0, slow_seconds=9)
+        downstream = Traces(node='n2', share=1.0, slow_seconds=9)
+        parent = upstream.start('balances', request_id='r')
+        child = downstream.start(
             'records',
             trace_parent=parent.trace_parent,
             request_id='r',
         )
-        below.end(child, Outcome.ANSWERED)
-        above.end(parent, Outcome.ANSWERED)
+        downstream.end(child, Outcome.ANSWERED)
+        upstream.end(parent, Outcome.ANSWERED)
         with (
-            admin_server({'/v1/traces/r': body_of(below, 'r')}) as one,
-            admin_server({'/v1/traces/r': body_of(above, 'r')}) as two,
+            admin_server({'/v1/traces/r': body_of(downstream, 'r')}) as one,
+            admin_server({'/v1/traces/r': body_of(upstream, 'r')}) as two,
         ):
             code = main(['trace', 'r', f'--nodes={one},{two}'])
 
@@ -40,16 +40,16 @@
         assert first.startswith('balances at n1')
         assert second.startswith('  records at n2')
 
-    def test_missing_span_is_said(self, capsys):
-        """An id of which no node keeps a span is said to be unknown."""
+    def test_missing_span_is_reported(self, capsys):
+        """An id without a span on any node gives exit code 1."""
         with admin_server({'/v1/traces/r': {'spans': []}}) as address:
             code = main(['trace', 'r', f'--nodes={address}'])
 
         assert code == 1
-        assert 'no node keeps a span of r' in capsys.readouterr().out
+        assert 'no node has a span of r' in capsys.readouterr().out
 
     @pytest.mark.parametrize('argv', [[], ['a', 'b'], ['../status']])
     def test_wrong_id_is_refused(self, capsys, argv):
-        """One well-formed id is asked for."""
+        """Anything but one well-formed id gives exit code 2."""
         assert main(['trace', *argv, '--nodes=127.0.1:1']) == 2
         assert 'id' in capsys.readouterr().err
