--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins of outside systems, for tests, demo and benchmarks."""
+"""Fakes of external systems for tests, the demo and benchmarks."""
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,6 +1,6 @@
-"""Starts a small deployment as processes: platform, nodes and targets.
+"""Runs a small deployment as processes: platform, nodes and targets.
 
-The product starts no process; this stand-in plays the operators' part.
+The product itself starts no processes; operators do that in production.
 """
 
 import asyncio
@@ -15,15 +15,20 @@
 import aiohttp
 import orjson
 
-_START_SECONDS = 30.0
-_POLL_SECONDS = 0.1
-_STOP_SECONDS = 20.0
-_GIVEN_PORTS: set[int] = set()
+_START_TIMEOUT_SECONDS = 30.0
+_POLL_INTERVAL_SECONDS = 0.1
+_STOP_TIMEOUT_SECONDS = 20.0
+_ASSIGNED_PORTS: set[int] = set()
 _FAILURE_DOMAINS = ('a', 'b', 'c')
 
 
 class ServicePlan:
-    """One service of a deployment."""
+    """Configuration of one service of a deployment.
+
+    ``slots`` is the number of concurrent requests per target, ``service_ms``
+    the duration of one request in ms; ``calls`` are pairs of service and
+    path that every request calls.
+    """
 
     __slots__ = ('name', 'instances', 'slots', 'service_ms', 'calls')
 
@@ -36,7 +41,6 @@
         service_ms: float,
         calls: tuple[tuple[str, str], ...] = (),
     ) -> None:
-        """Take the sizes; ``calls`` are pairs of service and path."""
         self.name = name
         self.instances = instances
         self.slots = slots
@@ -45,7 +49,11 @@
 
 
 class Vm:
-    """One VM: a node and its target, and their addresses."""
+    """One VM: a node and its target, their addresses and processes.
+
+    ``ingress``, ``admin`` and ``target`` are free loopback addresses;
+    ``state`` is the published state, such as ``live``.
+    """
 
     __slots__ = (
         'name',
@@ -60,7 +68,6 @@
     )
 
     def __init__(self, name: str, plan: ServicePlan, domain: str) -> None:
-        """Give the VM free ports."""
         self.name = name
         self.plan = plan
         self.failure_domain = domain
@@ -73,14 +80,14 @@
 
     @property
     def is_whole(self) -> bool:
-        """Return whether the node and the target both run."""
+        """Whether the node and the target processes are both running."""
         return all(
             process is not None and process.returncode is None
             for process in (self.node_process, self.target_process)
         )
 
-    def listing(self) -> dict[str, str]:
-        """Return the VM's entry in the published list."""
+    def published_entry(self) -> dict[str, str]:
+        """Return the VM's entry in the published ``vms`` document."""
         return {
             'name': self.name,
             'service': self.plan.name,
@@ -93,14 +100,17 @@
 
 
 class Fleet:
-    """A deployment that runs, and what may befall it."""
+    """A running deployment, with controls to inject failures.
+
+    ``folder`` receives settings, logs and witness files. ``start`` must be
+    awaited before any request.
+    """
 
     def __init__(self, folder: Path, plans: list[ServicePlan]) -> None:
-        """Plan the VMs; ``start`` brings them up."""
         self.folder = folder
         self.platform_address = free_address()
         self.vms = [
-            Vm(f'{plan.name}-{index + 1}', plan, _domain(index))
+            Vm(f'{plan.name}-{index + 1}', plan, _failure_domain(index))
             for plan in plans
             for index in range(plan.instances)
         ]
@@ -109,12 +119,18 @@
         self._session: aiohttp.ClientSession | None = None
 
     async def start(self, rules: dict[str, Any] | None = None) -> None:
-        """Start the platform, publish, start all VMs, wait for the nodes."""
+        """Start the platform and all VMs; return when all are ready.
+
+        Raises ``RuntimeError`` if a process exits, ``TimeoutError`` if one
+        is not ready in time.
+        """
         self._session = aiohttp.ClientSession()
         self._platform = await self._spawn(
             'platform', '-m', 'standins.platform', self.platform_address
         )
-        await self._until_up(f'http://{self.platform_address}/v1/values/none')
+        await self._wait_until_up(
+            f'http://{self.platform_address}/v1/values/none'
+        )
         if rules is not None:
             await self.publish('rules', rules)
         await self.publish_vms()
@@ -124,13 +140,13 @@
             await self.wait_for(vm.name)
 
     async def stop(self) -> None:
-        """Stop whatever still runs, all at once."""
-        running = [
-            one
+        """Kill all running processes."""
+        processes = [
+            process
             for vm in self.vms
-            for one in (vm.node_process, vm.target_process)
+            for process in (vm.node_process, vm.target_process)
         ]
-        for process in (*running, self._platform):
+        for process in (*processes, self._platform):
             if process is not None and process.returncode is None:
                 process.kill()
                 await process.wait()
@@ -138,12 +154,12 @@
             await self._session.close()
 
     async def start_vm(self, name: str) -> None:
-        """Start a VM's node and target; they keep nothing of an earlier."""
+        """Start a VM's node and target without state of an earlier run."""
         await self.start_node(name)
         await self.start_target(name)
 
     async def start_node(self, name: str) -> None:
-        """Start a VM's node."""
+        """Write the node's settings file and start the node."""
         vm = self.by_name[name]
         path = self.folder / f'{name}.ini'
         path.write_text(self._node_settings(vm), encoding='utf-8')
@@ -156,7 +172,7 @@
         )
 
     async def start_target(self, name: str) -> None:
-        """Start a VM's target."""
+        """Write the target's specification file and start the target."""
         vm = self.by_name[name]
         path = self.folder / f'{name}.json'
         path.write_bytes(orjson.dumps(self._target_spec(vm)))
@@ -165,40 +181,43 @@
         )
 
     async def wait_for(self, name: str) -> None:
-        """Wait until a VM's node and target serve."""
+        """Wait until a VM's target is healthy and its node is ready."""
         vm = self.by_name[name]
-        await self._until_up(f'http://{vm.target}/health')
-        await self._until_up(f'http://{vm.admin}/v1/ready')
+        await self._wait_until_up(f'http://{vm.target}/health')
+        await self._wait_until_up(f'http://{vm.admin}/v1/ready')
 
     async def publish(self, name: str, document: object) -> None:
-        """Publish a value, as the operators' publishing step does."""
+        """Publish a value on the platform, as operators do."""
         await self.order({'publish': {name: document}})
 
     async def publish_vms(self) -> None:
-        """Publish the list of VMs as it is."""
-        await self.publish('vms', [vm.listing() for vm in self.vms])
+        """Publish the current entries of all VMs."""
+        await self.publish('vms', [vm.published_entry() for vm in self.vms])
 
-    async def order(self, order: dict[str, Any]) -> None:
-        """Order the platform to publish, fail, go stale or restart."""
-        await self._post(f'http://{self.platform_address}/control', order)
+    async def order(self, command: dict[str, Any]) -> None:
+        """Send a control command to the platform; see ``PlatformState``."""
+        await self._post(f'http://{self.platform_address}/control', command)
 
     async def control_target(self, name: str, **fields: Any) -> None:
-        """Change how a target behaves."""
+        """Set fields of a target's ``TargetSpec`` while it runs."""
         vm = self.by_name[name]
         await self._post(f'http://{vm.target}/control', fields)
 
     async def stop_node(self, name: str) -> int:
-        """Stop a node as planned; return its exit code."""
+        """Stop a node with SIGTERM; return its exit code.
+
+        Raises ``TimeoutError`` if it does not exit in time.
+        """
         process = self._node(name)
         process.send_signal(signal.SIGTERM)
-        return await asyncio.wait_for(process.wait(), _STOP_SECONDS)
+        return await asyncio.wait_for(process.wait(), _STOP_TIMEOUT_SECONDS)
 
     def signal_node(self, name: str) -> None:
-        """Signal a node once more while it stops."""
+        """Send SIGTERM without waiting, for example while a node stops."""
         self._node(name).send_signal(signal.SIGTERM)
 
     async def kill_vm(self, name: str) -> None:
-        """Kill a VM's node and target at once."""
+        """Kill a VM's node and target with SIGKILL."""
         vm = self.by_name[name]
         for process in (vm.node_process, vm.target_process):
             if process is not None and process.returncode is None:
@@ -206,42 +225,44 @@
                 await process.wait()
 
     def freeze_node(self, name: str) -> None:
-        """Suspend a node's process."""
+        """Suspend a node's process with SIGSTOP."""
         self._node(name).send_signal(signal.SIGSTOP)
 
     def thaw_node(self, name: str) -> None:
-        """Let a suspended node's process go on."""
+        """Resume a suspended node's process with SIGCONT."""
         self._node(name).send_signal(signal.SIGCONT)
 
     async def admin(self, name: str, path: str) -> Any:
-        """Read from a node's admin API."""
+        """Return the JSON that a node's admin API answers."""
         url = f'http://{self.by_name[name].admin}{path}'
         async with self._client().get(url) as response:
             return orjson.loads(await response.read())
 
     def witnessed(self, service: str) -> list[tuple[str, str, str]]:
-        """Return what targets of a service wrote: what, request and call."""
+        """Return event, request id and call id of all records of a service."""
         lines = [
             line.split(' ')
             for path in self.folder.glob(f'{service}-*.witness')
             for line in path.read_text(encoding='utf-8').splitlines()
         ]
-        return [(what, request, call) for what, _, request, call in lines]
+        return [(event, request, call) for event, _, request, call in lines]
 
     def executions(self, service: str) -> Counter[str]:
-        """Return how often each call of a service ran, on any target."""
+        """Return the executions by call id, over all targets of a service."""
         return Counter(
-            call for what, _, call in self.witnessed(service) if what == 'ran'
+            call for event, _, call in self.witnessed(service) if event == 'ran'
         )
 
     def _node(self, name: str) -> asyncio.subprocess.Process:
         process = self.by_name[name].node_process
         if process is None:
-            raise RuntimeError(f'{name} was not started; start it first')
+            raise RuntimeError(
+                f'node {name} is not started; call start_node() first'
+            )
         return process
 
-    async def _spawn(self, log: str, *command: str) -> Any:
-        with (self.folder / f'{log}.log').open('ab') as output:
+    async def _spawn(self, log_name: str, *command: str) -> Any:
+        with (self.folder / f'{log_name}.log').open('ab') as output:
             return await asyncio.create_subprocess_exec(
                 sys.executable,
                 *command,
@@ -254,40 +275,40 @@
                 },
             )
 
-    async def _until_up(self, url: str) -> None:
-        async with asyncio.timeout(_START_SECONDS):
-            while not await self._answers(url):
-                self._raise_if_ended()
-                await asyncio.sleep(_POLL_SECONDS)
+    async def _wait_until_up(self, url: str) -> None:
+        async with asyncio.timeout(_START_TIMEOUT_SECONDS):
+            while not await self._responds(url):
+                self._raise_if_exited()
+                await asyncio.sleep(_POLL_INTERVAL_SECONDS)
 
-    def _raise_if_ended(self) -> None:
+    def _raise_if_exited(self) -> None:
         for vm in filter(_has_failed, self.vms):
             logs = ''.join(
                 log.read_text(encoding='utf-8')
                 for log in self.folder.glob(f'{vm.name}.*.log')
             )
-            raise RuntimeError(f'{vm.name} ended: {logs[-2000:]}')
+            raise RuntimeError(f'{vm.name} exited during start: {logs[-2000:]}')
 
-    async def _answers(self, url: str) -> bool:
+    async def _responds(self, url: str) -> bool:
         try:
             async with self._client().get(url) as response:
                 return response.status < 500
         except aiohttp.ClientError:
             return False
 
-    async def _post(self, url: str, order: dict[str, Any]) -> None:
+    async def _post(self, url: str, command: dict[str, Any]) -> None:
         async with self._client().post(
-            url, data=orjson.dumps(order)
+            url, data=orjson.dumps(command)
         ) as response:
             response.raise_for_status()
 
     def _client(self) -> aiohttp.ClientSession:
         if self._session is None:
-            raise RuntimeError('the fleet is not started; await start()')
+            raise RuntimeError('the fleet is not started; await start() first')
         return self._session
 
     def _node_settings(self, vm: Vm) -> str:
-        called = ', '.join(service for service, _ in vm.plan.calls)
+        services = ', '.join(service for service, _ in vm.plan.calls)
         return (
             f'[node]\nname = {vm.name}\nservice = {vm.plan.name}\n'
             f'failure_domain = {vm.failure_domain}\nregion = one\n'
@@ -295,7 +316,7 @@
             f'[target]\naddress = {vm.target}\nslots = {vm.plan.slots}\n'
             f'connections = {vm.plan.slots * 8}\n'
             f'[platform]\naddresses = {self.platform_address}\n'
-            f'[calls]\nservices = {called}\n'
+            f'[calls]\nservices = {services}\n'
             '[limits]\nsettle_seconds = 1\ntransit_seconds = 1\n'
         )
 
@@ -317,20 +338,22 @@
 
 
 def free_address() -> str:
-    """Return a loopback address that is free and was not given before."""
+    """Return a free loopback address, never the same one twice."""
     while True:
         with socket.socket() as probe:
             probe.bind(('127.0.0.1', 0))
             port = probe.getsockname()[1]
-        if port not in _GIVEN_PORTS:
-            _GIVEN_PORTS.add(port)
+        if port not in _ASSIGNED_PORTS:
+            _ASSIGNED_PORTS.add(port)
             return f'127.0.0.1:{port}'
 
 
 def _has_failed(vm: Vm) -> bool:
     processes = (vm.node_process, vm.target_process)
-    return any(one and (one.returncode or 0) > 0 for one in processes)
+    return any(
+        process and (process.returncode or 0) > 0 for process in processes
+    )
 
 
-def _domain(index: int) -> str:
+def _failure_domain(index: int) -> str:
     return _FAILURE_DOMAINS[index % len(_FAILURE_DOMAINS)]
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,8 +1,8 @@
-"""A stand-in of the platform: values that can be read and watched.
+"""A fake platform: named values with revisions that can be read and watched.
 
-``python -m standins.platform IP:PORT`` serves it. What operators and the
-platform itself do (publish, fail, go stale, restart) is done under
-``/control``, which no process of the product calls.
+Run it with ``python -m standins.platform IP:PORT``. Tests post to
+``/control`` to publish values and to inject outages, stale reads and
+restarts; the product never calls it.
 """
 
 import asyncio
@@ -18,49 +18,67 @@
 
 
 class PlatformState:
-    """The published values, and how the platform misbehaves."""
-
-    __slots__ = ('by_name', 'stale_by_name', 'is_out', 'reads', 'changed')
+    """The published values and the injected failures.
+
+    ``value_by_name`` holds each value with its revision;
+    ``stale_value_by_name`` is the snapshot that is served instead while
+    reads are stale; with ``is_unavailable`` reads fail with status 503;
+    ``read_count`` counts reads; ``changed`` wakes the watches.
+    """
+
+    __slots__ = (
+        'value_by_name',
+        'stale_value_by_name',
+        'is_unavailable',
+        'read_count',
+        'changed',
+    )
 
     def __init__(self) -> None:
-        """Start with nothing published."""
-        self.by_name: dict[str, dict[str, Any]] = {}
-        self.stale_by_name: dict[str, dict[str, Any]] | None = None
-        self.is_out = False
-        self.reads = 0
+        self.value_by_name: dict[str, dict[str, Any]] = {}
+        self.stale_value_by_name: dict[str, dict[str, Any]] | None = None
+        self.is_unavailable = False
+        self.read_count = 0
         self.changed = asyncio.Event()
 
     def publish(self, name: str, document: object) -> int:
-        """Publish a value and wake the watches; return its revision."""
-        revision = self._revision(name) + 1
-        self.by_name[name] = {'revision': revision, 'value': document}
+        """Publish a value and wake all watches; return its new revision."""
+        revision = self._published_revision(name) + 1
+        self.value_by_name[name] = {'revision': revision, 'value': document}
         self._wake()
         return revision
 
-    def control(self, order: dict[str, Any]) -> None:
-        """Carry out one order of a test."""
-        self.is_out = order.get('outage', self.is_out)
-        if 'stale' in order:
-            self.stale_by_name = dict(self.by_name) if order['stale'] else None
-        if order.get('restart'):
-            # A restarted platform counts its revisions from the start.
-            for published in self.by_name.values():
+    def control(self, command: dict[str, Any]) -> None:
+        """Apply a command with any of the keys used below.
+
+        ``outage``: reads fail while true. ``stale``: the current values are
+        served on while true. ``restart``: revisions start at 1 again.
+        ``publish``: values by name.
+        """
+        self.is_unavailable = command.get('outage', self.is_unavailable)
+        if 'stale' in command:
+            self.stale_value_by_name = (
+                dict(self.value_by_name) if command['stale'] else None
+            )
+        if command.get('restart'):
+            # A restarted platform counts revisions from 1 again.
+            for published in self.value_by_name.values():
                 published['revision'] = 1
-        for name, document in order.get('publish', {}).items():
+        for name, document in command.get('publish', {}).items():
             self.publish(name, document)
         self._wake()
 
-    def shown(self, name: str) -> dict[str, Any] | None:
-        """Return what a reader sees now, which may be stale."""
-        source = self.by_name
-        if self.stale_by_name is not None:
-            source = self.stale_by_name
+    def visible_value(self, name: str) -> dict[str, Any] | None:
+        """Return the value and revision that reads see, possibly stale."""
+        source = self.value_by_name
+        if self.stale_value_by_name is not None:
+            source = self.stale_value_by_name
         return source.get(name)
 
-    def _revision(self, name: str) -> int:
-        if name not in self.by_name:
+    def _published_revision(self, name: str) -> int:
+        if name not in self.value_by_name:
             return 0
-        return int(self.by_name[name]['revision'])
+        return int(self.value_by_name[name]['revision'])
 
     def _wake(self) -> None:
         self.changed.set()
@@ -68,27 +86,27 @@
 
 
 def make_app(state: PlatformState) -> Starlette:
-    """Return the application that serves the state."""
+    """Return the HTTP application that serves ``state``."""
 
     async def read(request: Request) -> Response:
-        state.reads += 1
-        if state.is_out:
+        state.read_count += 1
+        if state.is_unavailable:
             return Response(status_code=503)
         name = request.path_params['name']
         after = request.query_params.get('after')
         wait_ms = int(request.query_params.get('wait_ms', 0))
-        if after is not None and not await _differs(
+        if after is not None and not await _wait_for_change(
             state, name, int(after), wait_ms
         ):
             return Response(status_code=304)
-        published = state.shown(name)
+        published = state.visible_value(name)
         if published is None:
             return Response(status_code=404)
         return Response(orjson.dumps(published))
 
     async def control(request: Request) -> Response:
         state.control(orjson.loads(await request.body()))
-        return Response(orjson.dumps({'reads': state.reads}))
+        return Response(orjson.dumps({'reads': state.read_count}))
 
     return Starlette(
         routes=[
@@ -98,24 +116,27 @@
     )
 
 
-async def _differs(
+async def _wait_for_change(
     state: PlatformState,
     name: str,
     after: int,
     wait_ms: int,
 ) -> bool:
-    """Wait until the shown revision differs, or the time is over."""
+    """Return whether the revision differs from ``after`` within ``wait_ms``."""
     try:
         async with asyncio.timeout(wait_ms / 1000):
-            while _shown_revision(state, name) == after and not state.is_out:
+            while (
+                _visible_revision(state, name) == after
+                and not state.is_unavailable
+            ):
                 await state.changed.wait()
     except TimeoutError:
         return False
     return True
 
 
-def _shown_revision(state: PlatformState, name: str) -> int:
-    published = state.shown(name)
+def _visible_revision(state: PlatformState, name: str) -> int:
+    published = state.visible_value(name)
     return int(published['revision']) if published else 0
 
 
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,7 +1,7 @@
-"""A stand-in of the users' store: items under keys, read and watched.
+"""A fake key-value store with range reads and watches.
 
-It speaks what the adapter in ``platform/`` speaks. Tests change its items and
-let it be slow, silent, refusing or forgetful.
+It implements the protocol of the adapter in ``platform/``. Tests change its
+items and inject error statuses, unanswered requests and lost history.
 """
 
 import asyncio
@@ -14,46 +14,49 @@
 
 
 class StoreStandIn:
-    """Serves items at an address of this machine."""
+    """Serves items on a loopback port.
+
+    ``page`` is the maximum number of items per answer, ``revision`` the
+    revision of the last change, ``calls`` the number of requests received.
+    """
 
     def __init__(self, host: str = '127.0.0.1', page: int = 500) -> None:
-        """Begin empty; ``page`` bounds the items of one answer."""
         self.host = host
         self.port = 0
         self.page = page
         self.revision = 1
         self.calls = 0
-        #: Answered instead, if it is set.
+        #: If set, every request is answered with this status.
         self.status: int | None = None
-        #: Whether questions are taken and never answered.
+        #: Whether requests are accepted and never answered.
         self.is_silent = False
-        #: Changes up to this revision are no longer known.
+        #: Watches from before this revision get status 410.
         self.forgotten = 0
         self._items: dict[str, dict[str, object]] = {}
         self._events: list[dict[str, object]] = []
         self._changed = asyncio.Event()
-        self._open: set[ServerConnection] = set()
+        self._connections: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> None:
-        """Listen at a port of the system's choice."""
+        """Listen on ``port``, or on a free port if it is 0."""
         self._server = await asyncio.get_running_loop().create_server(
-            lambda: ServerConnection(self, ServerLimits(), self._open),
+            lambda: ServerConnection(self, ServerLimits(), self._connections),
             self.host,
             self.port,
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening and cancel pending watches."""
         if self._server is not None:
             self._server.close()
         for task in self._tasks:
             task.cancel()
 
     def put(self, key: str, raw: bytes) -> None:
-        """Write an item."""
+        """Create or replace an item and notify watches."""
         self.revision += 1
         item = {
             'key': key,
@@ -63,16 +66,16 @@
             'lease': 0,
         }
         self._items[key] = item
-        self._tell(item)
+        self._record(item)
 
     def remove(self, key: str) -> None:
-        """Remove an item."""
+        """Delete an item and notify watches with a tombstone."""
         self.revision += 1
         self._items.pop(key)
-        self._tell({'key': key, 'rev': self.revision, 'tombstone': True})
+        self._record({'key': key, 'rev': self.revision, 'tombstone': True})
 
     def handle(self, request: Request, connection: ServerConnection) -> None:
-        """Answer a question, unless it is to be silent."""
+        """Answer one request; implements the server interface of ``http1``."""
         self.calls += 1
         if self.is_silent:
             return
@@ -82,16 +85,16 @@
         url = urlsplit(request.target.decode())
         query = {name: found[0] for name, found in parse_qs(url.query).items()}
         if url.path == '/kv-range':
-            self._range(query, connection)
+            self._read_range(query, connection)
         else:
             task = asyncio.ensure_future(self._watch(query, connection))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     def abandon(self, token: None) -> None:
-        """Let a watch run out for nobody."""
+        """Do nothing; a watch of a closed connection ends by its timeout."""
 
-    def _range(
+    def _read_range(
         self,
         query: dict[str, str],
         connection: ServerConnection,
@@ -120,20 +123,20 @@
             return
         try:
             async with asyncio.timeout(int(query['wait_ms']) / 1000):
-                while not self._since(after):
+                while not self._events_after(after):
                     await self._changed.wait()
         except TimeoutError:
             pass
         if self.status is not None:
             connection.respond(status=self.status, fields=b'', body=b'')
             return
-        body = {'events': self._since(after), 'at': self.revision}
+        body = {'events': self._events_after(after), 'at': self.revision}
         connection.respond(status=200, fields=b'', body=orjson.dumps(body))
 
-    def _since(self, after: int) -> list[dict[str, object]]:
+    def _events_after(self, after: int) -> list[dict[str, object]]:
         return [event for event in self._events if int(event['rev']) > after]  # type: ignore[call-overload]
 
-    def _tell(self, event: dict[str, object]) -> None:
+    def _record(self, event: dict[str, object]) -> None:
         self._events.append(event)
         self._changed.set()
         self._changed = asyncio.Event()
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,9 +1,9 @@
-"""A stand-in of a target: a service with slots, time of service and faults.
+"""A fake target: a service with slots, a service time and injected failures.
 
-``python -m standins.target SPEC.json`` serves it. It witnesses every
-execution in a file, so that tests compare what ran with what callers were
-told. It keeps to deadlines and cancellation, and calls the services named
-in its specification through ``lovageshunt.client``.
+Run it with ``python -m standins.target SPEC.json``. It records every
+execution in a file, so that tests can compare executions with the outcomes
+reported to callers. It respects deadlines and cancellation, and calls the
+services in its specification through ``lovageshunt.client``.
 """
 
 import asyncio
@@ -32,7 +32,13 @@
 
 
 class TargetSpec:
-    """What one target is like, and how it misbehaves right now."""
+    """The specification of a target, from its file and control requests.
+
+    ``listen`` and ``node`` are addresses as IP:PORT, ``slots`` the number of
+    concurrent requests, ``service_ms`` the duration of one request in ms,
+    ``calls`` objects with service and path, ``cold_seconds`` the delay
+    before it listens; with ``is_shedding`` every request is refused.
+    """
 
     __slots__ = (
         'name',
@@ -50,7 +56,6 @@
     )
 
     def __init__(self, **fields: Any) -> None:
-        """Take the fields of the specification file."""
         self.name: str = fields['name']
         self.service: str = fields['service']
         self.listen: str = fields['listen']
@@ -61,19 +66,21 @@
         self.calls: list[dict[str, str]] = fields.get('calls', [])
         self.cold_seconds: float = fields.get('cold_seconds', 0)
         self.is_shedding: bool = fields.get('is_shedding', False)
-        #: What the load endpoint shows is the truth times this.
+        #: The load endpoint reports the actual load times this factor.
         self.load_factor: float = fields.get('load_factor', 1.0)
-        #: A file that gets a line for each execution; it outlives a kill.
+        #: File with a line per execution event; it survives a kill.
         self.witness: str = fields.get('witness', '')
 
 
 class Target:
-    """Serves requests in slots, and remembers what ran."""
+    """Serves requests in slots and records their executions.
+
+    ``running`` is the number of requests that occupy a slot.
+    """
 
     __slots__ = ('spec', 'client', 'running', 'slots')
 
     def __init__(self, spec: TargetSpec) -> None:
-        """Start with nothing run."""
         self.spec = spec
         self.client = Client(
             ClientOptions(
@@ -87,7 +94,7 @@
         self.slots = asyncio.Semaphore(spec.slots)
 
     async def serve(self, request: Request) -> Response:
-        """Run one request."""
+        """Execute a request in a slot, or refuse it while shedding."""
         if self.spec.is_shedding:
             return Response(
                 status_code=503,
@@ -95,7 +102,7 @@
             )
         scope = scope_of(request.scope)
         async with self.slots:
-            self._witness('ran', scope)
+            self._record('ran', scope)
             self.running += 1
             try:
                 return await self._run(request, scope)
@@ -103,18 +110,18 @@
                 self.running -= 1
 
     async def health(self, request: Request) -> Response:
-        """Say that the process is up, however it fares."""
+        """Answer 200 while the process runs, also under overload."""
         return Response(b'ok')
 
     async def load(self, request: Request) -> Response:
-        """Report the load, which may mislead."""
-        shown = int(self.running * self.spec.load_factor)
+        """Report slots and load; ``load_factor`` can make it inaccurate."""
+        running = int(self.running * self.spec.load_factor)
         return Response(
-            orjson.dumps({'running': shown, 'slots': self.spec.slots}),
+            orjson.dumps({'running': running, 'slots': self.spec.slots}),
         )
 
     async def control(self, request: Request) -> Response:
-        """Change the specification."""
+        """Set fields of the specification from a JSON object."""
         for name, setting in orjson.loads(await request.body()).items():
             setattr(self.spec, name, setting)
         return Response(b'ok')
@@ -133,7 +140,7 @@
             if reply.is_error():
                 return scope.failure_response(reply.error)
             parts[call['service']] = orjson.loads(reply.ok.body)
-        self._witness('finished', scope)
+        self._record('finished', scope)
         return Response(
             orjson.dumps(
                 {
@@ -145,24 +152,24 @@
             ),
         )
 
-    def _witness(self, what: str, scope: CallScope) -> None:
+    def _record(self, event: str, scope: CallScope) -> None:
         if not self.spec.witness:
             return
         line = (
-            f'{what} {self.spec.service} {scope.request_id} {scope.call_id}\n'
+            f'{event} {self.spec.service} {scope.request_id} {scope.call_id}\n'
         )
-        with Path(self.spec.witness).open('a', encoding='utf-8') as witness:
-            witness.write(line)
+        with Path(self.spec.witness).open('a', encoding='utf-8') as stream:
+            stream.write(line)
 
 
 def make_app(target: Target) -> InboundCalls:
-    """Return the application that serves a target."""
-    anything = ['GET', 'POST', 'PUT', 'DELETE']
+    """Return the application of a target, with its inbound middleware."""
+    methods = ['GET', 'POST', 'PUT', 'DELETE']
     routes = [
         Route('/health', target.health),
         Route('/load', target.load),
         Route('/control', target.control, methods=['POST']),
-        Route('/{path:path}', target.serve, methods=anything),
+        Route('/{path:path}', target.serve, methods=methods),
     ]
     return InboundCalls(Starlette(routes=routes), target.client)
 
