--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the demo; see the package."""
+"""Entry point of ``python -m demo``; see the package docstring."""
 
 import asyncio
 import statistics
@@ -9,19 +9,19 @@
 import orjson
 
 from demo._checks import Findings, check_account, check_outcomes
-from demo._load import Ledger, run_load
+from demo._load import OutcomeLog, run_load
 from demo._plans import DESPENSA, NAHR_LABS, DeploymentPlan
 from lovageshunt.cli import main as lovageshunt
 from lovageshunt.client import Client, ClientOptions
 from standins.fleet import Fleet
 
-_LOAD_SECONDS = 10.0
-_PER_SECOND = 40.0
-_STOP_AFTER_SECONDS = 3.0
+_LOAD_DURATION_SECONDS = 10.0
+_REQUESTS_PER_SECOND = 40.0
+_STOP_DELAY_SECONDS = 3.0
 _RETRY_BOUND = 4
 
 
-async def _demonstrate(plan: DeploymentPlan, folder: Path) -> list[str]:
+async def _run_deployment(plan: DeploymentPlan, folder: Path) -> list[str]:
     document = folder / 'rules.json'
     accepted = await asyncio.to_thread(
         lovageshunt,
@@ -32,16 +32,16 @@
     fleet = Fleet(folder, plan.services)
     try:
         await fleet.start(orjson.loads(document.read_bytes()))
-        ledger = await _load(plan, fleet)
-        findings = check_outcomes(plan, fleet, ledger, _RETRY_BOUND)
-        names = [vm.name for vm in fleet.vms if vm.name != plan.stopped]
+        outcome_log = await _load(plan, fleet)
+        findings = check_outcomes(plan, fleet, outcome_log, _RETRY_BOUND)
+        names = [vm.name for vm in fleet.vms if vm.name != plan.stopped_vm]
         await check_account(findings, fleet, names)
     finally:
         await fleet.stop()
-    return _report(plan, ledger, findings)
+    return _report(plan, outcome_log, findings)
 
 
-async def _load(plan: DeploymentPlan, fleet: Fleet) -> Ledger:
+async def _load(plan: DeploymentPlan, fleet: Fleet) -> OutcomeLog:
     client = Client(
         ClientOptions(
             name='phone',
@@ -51,39 +51,40 @@
         ),
     )
     await client.start()
-    ledger = Ledger()
+    outcome_log = OutcomeLog()
     load = run_load(
         client,
-        ledger,
+        outcome_log,
         lookup=plan.lookup,
         purchase=plan.purchase,
-        seconds=_LOAD_SECONDS,
-        per_second=_PER_SECOND,
+        seconds=_LOAD_DURATION_SECONDS,
+        per_second=_REQUESTS_PER_SECOND,
     )
-    stopping = _stop_later(fleet, plan.stopped)
-    await asyncio.gather(load, stopping)
+    stop = _stop_node_later(fleet, plan.stopped_vm)
+    await asyncio.gather(load, stop)
     await client.close()
-    return ledger
+    return outcome_log
 
 
-async def _stop_later(fleet: Fleet, name: str) -> None:
-    await asyncio.sleep(_STOP_AFTER_SECONDS)
+async def _stop_node_later(fleet: Fleet, name: str) -> None:
+    await asyncio.sleep(_STOP_DELAY_SECONDS)
     await fleet.stop_node(name)
 
 
 def _report(
     plan: DeploymentPlan,
-    ledger: Ledger,
+    outcome_log: OutcomeLog,
     findings: Findings,
 ) -> list[str]:
-    lines = [f'{plan.name}: {plan.stopped} stopped under load']
+    lines = [f'{plan.name}: {plan.stopped_vm} stopped under load']
     for kind in ('lookup', 'purchase'):
         counts = ', '.join(
-            f'{told} {times}' for told, times in ledger.counts(kind).items()
+            f'{outcome} {count}'
+            for outcome, count in outcome_log.counts(kind).items()
         )
         lines.append(f'  {kind}s: {counts}')
-    median = statistics.median(ledger.milliseconds)
-    lines.append(f'  median time of an answer: {median:.0f} ms')
+    median = statistics.median(outcome_log.latencies_ms)
+    lines.append(f'  median latency: {median:.0f} ms')
     return [*lines, *findings.lines]
 
 
@@ -93,8 +94,8 @@
         for folder in folders:
             folder.mkdir()
         reports = await asyncio.gather(
-            _demonstrate(NAHR_LABS, folders[0]),
-            _demonstrate(DESPENSA, folders[1]),
+            _run_deployment(NAHR_LABS, folders[0]),
+            _run_deployment(DESPENSA, folders[1]),
         )
     lines = [line for report in reports for line in report]
     sys.stdout.writelines(f'{line}\n' for line in lines)
--- a/demo/_checks.py
+++ b/demo/_checks.py
@@ -1,65 +1,68 @@
-"""What the demo can see of the promises, checked after the load."""
+"""Checks of the guarantees that are visible from outside, after the load."""
 
 from collections import Counter
 
-from demo._load import Ledger
+from demo._load import OutcomeLog
 from demo._plans import DeploymentPlan
 from lovageshunt.account import MergedAccount, balance, snapshot_from_dict
 from standins.fleet import Fleet
 
 
 class Findings:
-    """Which promises held, and the figures behind them."""
+    """Results of the checks.
+
+    ``lines`` has one line of text per guarantee; ``is_good`` is true while
+    all of them hold.
+    """
 
     def __init__(self) -> None:
-        """Begin with none checked."""
         self.lines: list[str] = []
         self.is_good = True
 
-    def check(self, promise: str, faults: int, detail: str = '') -> None:
-        """Note one promise; it held if there is no fault."""
-        held = 'held' if faults == 0 else f'BROKEN {faults} times'
-        self.lines.append(f'  {promise}: {held} {detail}'.rstrip())
-        self.is_good = self.is_good and faults == 0
+    def check(self, guarantee: str, violations: int, detail: str = '') -> None:
+        """Record a guarantee, which holds if there are no violations."""
+        result = 'held' if violations == 0 else f'BROKEN {violations} times'
+        self.lines.append(f'  {guarantee}: {result} {detail}'.rstrip())
+        self.is_good = self.is_good and violations == 0
 
 
 def check_outcomes(
     plan: DeploymentPlan,
     fleet: Fleet,
-    ledger: Ledger,
+    outcome_log: OutcomeLog,
     retry_bound: int,
 ) -> Findings:
-    """Compare what callers were told with what the targets ran."""
+    """Compare the outcomes reported to callers with the executions."""
     findings = Findings()
     purchases = fleet.executions(plan.purchase[0])
-    ran = _ran_by_request(plan, fleet)
+    ran = _executions_by_request(plan, fleet)
     findings.check(
         'purchases run at most once',
-        sum(times > 1 for times in purchases.values()),
+        sum(count > 1 for count in purchases.values()),
         f'({len(purchases)} ran)',
     )
-    not_run = ledger.ids_told('CallNotRunError')
+    not_run = outcome_log.ids_with_outcome('CallNotRunError')
     findings.check(
-        'told "not run", and nothing ran',
+        'requests reported as not run did not run',
         sum(ran[request_id] > 0 for request_id in not_run),
-        f'({len(not_run)} told)',
+        f'({len(not_run)} reported)',
     )
     findings.check(
-        'every answer whole and its own',
-        len(ledger.wrong_answers),
-        f'({len(ledger.ids_told("answered"))} answers)',
+        'every answer complete and for its own request',
+        len(outcome_log.wrong_answers),
+        f'({len(outcome_log.ids_with_outcome("answered"))} answers)',
     )
     depth = len(plan.services)
-    most = max(ran.values(), default=0)
+    max_executions = max(ran.values(), default=0)
     findings.check(
         'retries within the bound',
-        sum(times > depth + retry_bound for times in ran.values()),
-        f'(at most {most} executions a request)',
-    )
-    cut = ledger.ids_told('CallFailedError') + ledger.ids_told(
-        'CallUnknownError'
+        sum(count > depth + retry_bound for count in ran.values()),
+        f'(at most {max_executions} executions per request)',
     )
-    findings.check('the planned stop cut off nothing', len(cut))
+    interrupted = outcome_log.ids_with_outcome(
+        'CallFailedError'
+    ) + outcome_log.ids_with_outcome('CallUnknownError')
+    findings.check('the planned stop interrupted no request', len(interrupted))
     return findings
 
 
@@ -68,7 +71,7 @@
     fleet: Fleet,
     names: list[str],
 ) -> None:
-    """Collect and balance the account of all nodes."""
+    """Check that the account snapshots of all nodes balance."""
     account = MergedAccount()
     imbalances = 0
     for name in names:
@@ -81,9 +84,9 @@
     findings.check('the account balances', imbalances, f'({arrived} calls)')
 
 
-def _ran_by_request(plan: DeploymentPlan, fleet: Fleet) -> Counter[str]:
+def _executions_by_request(plan: DeploymentPlan, fleet: Fleet) -> Counter[str]:
     ran: Counter[str] = Counter()
     for service in plan.services:
-        for call_id, times in fleet.executions(service.name).items():
-            ran[call_id.split('.')[0]] += times
+        for call_id, count in fleet.executions(service.name).items():
+            ran[call_id.split('.')[0]] += count
     return ran
--- a/demo/_load.py
+++ b/demo/_load.py
@@ -1,4 +1,4 @@
-"""Callers that send lookups and purchases, and remember what they got."""
+"""Generates lookups and purchases and records their outcomes."""
 
 import asyncio
 import time
@@ -14,83 +14,87 @@
 _PURCHASE = 'purchase'
 
 
-class Ledger:
-    """What each caller was told, by request id."""
+class OutcomeLog:
+    """Outcomes reported to callers.
+
+    ``outcome_by_id`` and ``kind_by_id`` are keyed by request id;
+    ``wrong_answers`` lists requests that got the answer of another one;
+    ``latencies_ms`` are durations of all requests in ms.
+    """
 
     def __init__(self) -> None:
-        """Begin with nothing told."""
-        self.told_by_id: dict[str, str] = {}
+        self.outcome_by_id: dict[str, str] = {}
         self.kind_by_id: dict[str, str] = {}
         self.wrong_answers: list[str] = []
-        self.milliseconds: list[float] = []
+        self.latencies_ms: list[float] = []
 
-    def note(
+    def record(
         self,
         kind: str,
         request_id: str,
-        told: Result[Answer, CallError],
+        result: Result[Answer, CallError],
     ) -> None:
-        """Note what a caller was told, and whether the answer is its own."""
+        """Record the outcome of a request and check the request id."""
         self.kind_by_id[request_id] = kind
-        if told.is_error():
-            name = type(told.error).__name__
-            self.told_by_id[request_id] = f'{name}: {told.error.reason}'
+        if result.is_error():
+            name = type(result.error).__name__
+            self.outcome_by_id[request_id] = f'{name}: {result.error.reason}'
             return
-        self.told_by_id[request_id] = 'answered'
-        if orjson.loads(told.ok.body)['request'] != request_id:
+        self.outcome_by_id[request_id] = 'answered'
+        if orjson.loads(result.ok.body)['request'] != request_id:
             self.wrong_answers.append(request_id)
 
     def counts(self, kind: str) -> Counter[str]:
-        """Return how often callers of a kind were told what."""
+        """Return the number of requests of a kind by outcome."""
         return Counter(
-            told
-            for request_id, told in self.told_by_id.items()
+            outcome
+            for request_id, outcome in self.outcome_by_id.items()
             if self.kind_by_id[request_id] == kind
         )
 
-    def ids_told(self, beginning: str) -> list[str]:
-        """Return the requests that were told something."""
+    def ids_with_outcome(self, prefix: str) -> list[str]:
+        """Return the ids of requests whose outcome has this prefix."""
         return [
             request_id
-            for request_id, told in self.told_by_id.items()
-            if told.startswith(beginning)
+            for request_id, outcome in self.outcome_by_id.items()
+            if outcome.startswith(prefix)
         ]
 
 
 async def run_load(
     client: Client,
-    ledger: Ledger,
+    outcome_log: OutcomeLog,
     *,
     lookup: tuple[str, str],
     purchase: tuple[str, str],
     seconds: float,
     per_second: float,
 ) -> None:
-    """Send requests at a rate: one purchase for every two lookups."""
-    began = time.monotonic()
+    """Send requests at a constant rate, every third one a purchase."""
+    started = time.monotonic()
     tasks = []
     number = 0
-    while time.monotonic() - began < seconds:
+    while time.monotonic() - started < seconds:
         number += 1
         if number % 3:
-            work = _send(client, ledger, _LOOKUP, 'GET', lookup)
+            request = _send(client, outcome_log, _LOOKUP, 'GET', lookup)
         else:
-            work = _send(client, ledger, _PURCHASE, 'POST', purchase)
-        tasks.append(asyncio.create_task(work))
-        due = began + number / per_second
+            request = _send(client, outcome_log, _PURCHASE, 'POST', purchase)
+        tasks.append(asyncio.create_task(request))
+        due = started + number / per_second
         await asyncio.sleep(max(0, due - time.monotonic()))
     await asyncio.gather(*tasks)
 
 
 async def _send(
     client: Client,
-    ledger: Ledger,
+    outcome_log: OutcomeLog,
     kind: str,
     method: str,
-    place: tuple[str, str],
+    endpoint: tuple[str, str],
 ) -> None:
     scope = client.request()
-    began = time.monotonic()
-    told = await scope.call(place[0], method, place[1], body=b'{}')
-    ledger.milliseconds.append((time.monotonic() - began) * 1000)
-    ledger.note(kind, scope.request_id, told)
+    started = time.monotonic()
+    result = await scope.call(endpoint[0], method, endpoint[1], body=b'{}')
+    outcome_log.latencies_ms.append((time.monotonic() - started) * 1000)
+    outcome_log.record(kind, scope.request_id, result)
--- a/demo/_plans.py
+++ b/demo/_plans.py
@@ -1,4 +1,4 @@
-"""The two deployments, thin."""
+"""Small versions of the two example deployments."""
 
 from pathlib import Path
 
@@ -8,7 +8,12 @@
 
 
 class DeploymentPlan:
-    """A deployment: its services, its sheet, and what its callers do."""
+    """A deployment and its load.
+
+    ``sheet`` is the path of its rules; ``lookup`` and ``purchase`` are the
+    pairs of service and path that callers request; ``stopped_vm`` is the VM
+    whose node is stopped under load.
+    """
 
     def __init__(
         self,
@@ -17,15 +22,14 @@
         services: list[ServicePlan],
         lookup: tuple[str, str],
         purchase: tuple[str, str],
-        stopped: str,
+        stopped_vm: str,
     ) -> None:
-        """Take services, and pairs of service and path for the callers."""
         self.name = name
         self.sheet = _EXAMPLES / name / 'rules.csv'
         self.services = services
         self.lookup = lookup
         self.purchase = purchase
-        self.stopped = stopped
+        self.stopped_vm = stopped_vm
 
 
 NAHR_LABS = DeploymentPlan(
@@ -56,7 +60,7 @@
     ],
     lookup=('balances', '/balances/7'),
     purchase=('payments', '/tokens'),
-    stopped='payments-1',
+    stopped_vm='payments-1',
 )
 
 DESPENSA = DeploymentPlan(
@@ -87,5 +91,5 @@
     ],
     lookup=('listas', '/listas/4'),
     purchase=('pedidos', '/pedidos'),
-    stopped='stock-1',
+    stopped_vm='stock-1',
 )
