--- a/src/lovageshunt/cli/_account.py
+++ b/src/lovageshunt/cli/_account.py
@@ -112,7 +112,7 @@
         write_json(report.as_dict())
     else:
         _show(report)
-    return ExitCode.FINE if report.is_complete else ExitCode.FAILED
+    return ExitCode.SUCCESS if report.is_complete else ExitCode.FAILED
 
 
 def _write_files(report: AccountReport, values: FlagValues) -> bool:
--- a/src/lovageshunt/cli/_app.py
+++ b/src/lovageshunt/cli/_app.py
@@ -88,7 +88,7 @@
     """
     if not argv or argv[0] in _HELP_ARGUMENTS:
         _show_groups()
-        return ExitCode.FINE if argv else ExitCode.FAULTS
+        return ExitCode.SUCCESS if argv else ExitCode.FAULTS
     group_by_name = {group.name: group for group in GROUPS}
     group = group_by_name.get(argv[0])
     if group is None:
@@ -108,7 +108,7 @@
         return _run_command(group.name, only_command, argv)
     if not argv or argv[0] in _HELP_ARGUMENTS:
         _show_commands(group, by_name)
-        return ExitCode.FINE if argv else ExitCode.FAULTS
+        return ExitCode.SUCCESS if argv else ExitCode.FAULTS
     command = by_name.get(argv[0])
     if command is None:
         return _report_unknown_command(argv[0], by_name)
@@ -130,7 +130,7 @@
         return ExitCode.FAULTS
     if values.help:
         _show_help(full_name, command, values)
-        return ExitCode.FINE
+        return ExitCode.SUCCESS
     return command.run(arguments, values)
 
 
--- a/src/lovageshunt/cli/_command.py
+++ b/src/lovageshunt/cli/_command.py
@@ -16,12 +16,12 @@
 class ExitCode(IntEnum):
     """Exit codes of the commands.
 
-    ``FINE``: done, no problem found. ``FAILED``: the command failed or found
+    ``SUCCESS``: done, no problem found. ``FAILED``: the command failed or found
     a problem, with valid input. ``FAULTS``: the input or the flags are
     invalid.
     """
 
-    FINE = 0
+    SUCCESS = 0
     FAILED = 1
     FAULTS = 2
 
--- a/src/lovageshunt/cli/_explain.py
+++ b/src/lovageshunt/cli/_explain.py
@@ -58,7 +58,7 @@
         write_json({'request_id': request_id, 'lines': found})
     else:
         _show(request_id, found)
-    return ExitCode.FINE if found else ExitCode.FAILED
+    return ExitCode.SUCCESS if found else ExitCode.FAILED
 
 
 def read_lines(path: Path) -> Iterable[LogRecord]:
--- a/src/lovageshunt/cli/_rules.py
+++ b/src/lovageshunt/cli/_rules.py
@@ -37,7 +37,7 @@
     match read_sheet(arguments[0], values, today=None):
         case Result(tag='ok', ok=sheet):
             show_document(sheet.document, values)
-            return ExitCode.FINE
+            return ExitCode.SUCCESS
         case Result(error=faults):
             show_faults(faults, values)
     return ExitCode.FAULTS
@@ -57,7 +57,7 @@
                 show_faults(faults, values)
                 return ExitCode.FAULTS
     show_changes(changes_between(documents[0], documents[1]), values)
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def accept(arguments: Sequence[str], values: FlagValues) -> ExitCode:
@@ -128,14 +128,14 @@
     name = values['out'].value
     if name is None:
         sys.stdout.write(f'{raw.decode()}\n')
-        return ExitCode.FINE
+        return ExitCode.SUCCESS
     try:
         Path(name).write_bytes(raw)
     except OSError as error:
         write_error(f'cannot write --out {name} ({error}); choose another path')
         return ExitCode.FAILED
     show_document(document, values)
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def _report_wrong_arguments(expected: str) -> ExitCode:
--- a/src/lovageshunt/cli/_rules_status.py
+++ b/src/lovageshunt/cli/_rules_status.py
@@ -86,7 +86,7 @@
         )
     if any(answer.problem for answer in answers):
         return ExitCode.FAILED
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def mark_outdated(answers: Sequence[NodeRules]) -> None:
--- a/src/lovageshunt/cli/_status.py
+++ b/src/lovageshunt/cli/_status.py
@@ -61,7 +61,7 @@
             return ExitCode.FAULTS
     if any(answer.error for answer in answers):
         return ExitCode.FAILED
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def _show(answers: list[NodeAnswer], values: FlagValues) -> None:
--- a/src/lovageshunt/cli/_top.py
+++ b/src/lovageshunt/cli/_top.py
@@ -15,7 +15,7 @@
 
 def top(arguments: Sequence[str], values: FlagValues) -> ExitCode:
     """Print the status ``--count`` times or until interrupted."""
-    code = ExitCode.FINE
+    code = ExitCode.SUCCESS
     with suppress(KeyboardInterrupt):
         for shown in count(1):
             code = status(arguments, values)
--- a/src/lovageshunt/cli/_trace.py
+++ b/src/lovageshunt/cli/_trace.py
@@ -43,7 +43,7 @@
         _show(spans, arguments[0])
     for error in errors:
         write_error(str(error))
-    return ExitCode.FINE if spans and not errors else ExitCode.FAILED
+    return ExitCode.SUCCESS if spans and not errors else ExitCode.FAILED
 
 
 def _decode_spans(
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -37,7 +37,7 @@
         named = words.split()
         count = 2 if named[0] in _GROUPED else 1
 
-        assert main([*named[:count], '--help']) == ExitCode.FINE
+        assert main([*named[:count], '--help']) == ExitCode.SUCCESS
 
     @pytest.mark.parametrize('module', found(_MODULE))
     def test_module_exists(self, module):
