--- a/bench/run_once/__main__.py
+++ b/bench/run_once/__main__.py
@@ -13,7 +13,7 @@
 import orjson
 
 from bench.run_once._callers import CallerKind
-from bench.run_once._faults import FAULTS, World
+from bench.run_once._faults import INVALID_INPUT, World
 from bench.run_once._machine import NodeFactory
 from bench.run_once._people import Crowd
 from bench.run_once._timed import TimedFleet
@@ -69,7 +69,7 @@
     world = World(fleet, 3)
     fleet.run_until(fleet.now + 30)
     crowd = Crowd(world, random, _RATE)
-    fleet.after(_FAULT_SECONDS, lambda: FAULTS[fault](world))
+    fleet.after(_FAULT_SECONDS, lambda: INVALID_INPUT[fault](world))
     fleet.run_until(fleet.now + _RUN_SECONDS)
     bought = [
         purchase
@@ -105,7 +105,7 @@
         '        unnumbered      failed doubled wronged',
     )
     for name, way in _WAYS.items():
-        for fault in FAULTS:
+        for fault in INVALID_INPUT:
             _print(f'{name:15}{fault:17}{_row(way, fault)}')
 
 
--- a/bench/run_once/_faults.py
+++ b/bench/run_once/_faults.py
@@ -96,7 +96,7 @@
 
 
 _Fault = Callable[[World], None]
-FAULTS: Final[Mapping[str, _Fault]] = MappingProxyType(
+INVALID_INPUT: Final[Mapping[str, _Fault]] = MappingProxyType(
     {
         'none': _nothing,
         'VM lost, replaced': _lose,
--- a/src/lovageshunt/cli/_account.py
+++ b/src/lovageshunt/cli/_account.py
@@ -53,13 +53,13 @@
     """Show the merged account; fail if it is incomplete or inconsistent."""
     if arguments:
         write_error('expected flags only, got other arguments; see --help')
-        return ExitCode.FAULTS
+        return ExitCode.INVALID_INPUT
     match _collect(values):
         case Result(tag='ok', ok=report):
             return _output(report, values)
         case Result(error=problem):
             write_error(problem)
-    return ExitCode.FAULTS
+    return ExitCode.INVALID_INPUT
 
 
 def _collect(values: FlagValues) -> Result[AccountReport, str]:
--- a/src/lovageshunt/cli/_app.py
+++ b/src/lovageshunt/cli/_app.py
@@ -88,7 +88,7 @@
     """
     if not argv or argv[0] in _HELP_ARGUMENTS:
         _show_groups()
-        return ExitCode.SUCCESS if argv else ExitCode.FAULTS
+        return ExitCode.SUCCESS if argv else ExitCode.INVALID_INPUT
     group_by_name = {group.name: group for group in GROUPS}
     group = group_by_name.get(argv[0])
     if group is None:
@@ -108,7 +108,7 @@
         return _run_command(group.name, only_command, argv)
     if not argv or argv[0] in _HELP_ARGUMENTS:
         _show_commands(group, by_name)
-        return ExitCode.SUCCESS if argv else ExitCode.FAULTS
+        return ExitCode.SUCCESS if argv else ExitCode.INVALID_INPUT
     command = by_name.get(argv[0])
     if command is None:
         return _report_unknown_command(argv[0], by_name)
@@ -118,7 +118,7 @@
 def _report_unknown_command(name: str, known: Iterable[str]) -> int:
     names = ', '.join(known)
     write_error(f'unknown command {name!r}; expected one of: {names}')
-    return ExitCode.FAULTS
+    return ExitCode.INVALID_INPUT
 
 
 def _run_command(full_name: str, command: Command, argv: Sequence[str]) -> int:
@@ -127,7 +127,7 @@
         arguments = values([full_name, *argv])[1:]
     except FlagsError as error:
         write_error(f'{error}; see {_PROGRAM} {full_name} --help')
-        return ExitCode.FAULTS
+        return ExitCode.INVALID_INPUT
     if values.help:
         _show_help(full_name, command, values)
         return ExitCode.SUCCESS
--- a/src/lovageshunt/cli/_command.py
+++ b/src/lovageshunt/cli/_command.py
@@ -17,13 +17,13 @@
     """Exit codes of the commands.
 
     ``SUCCESS``: done, no problem found. ``FAILED``: the command failed or found
-    a problem, with valid input. ``FAULTS``: the input or the flags are
+    a problem, with valid input. ``INVALID_INPUT``: the input or the flags are
     invalid.
     """
 
     SUCCESS = 0
     FAILED = 1
-    FAULTS = 2
+    INVALID_INPUT = 2
 
 
 class Command(Record):
--- a/src/lovageshunt/cli/_explain.py
+++ b/src/lovageshunt/cli/_explain.py
@@ -46,13 +46,13 @@
         write_error(
             'expected a request id and one or more log files; see --help'
         )
-        return ExitCode.FAULTS
+        return ExitCode.INVALID_INPUT
     request_id, *paths = arguments
     try:
         lines = [line for path in paths for line in read_lines(Path(path))]
     except OSError as error:
         write_error(f'cannot read a log file: {error}; give readable files')
-        return ExitCode.FAULTS
+        return ExitCode.INVALID_INPUT
     found = timeline(request_id, lines, values.around_seconds)
     if values.json:
         write_json({'request_id': request_id, 'lines': found})
--- a/src/lovageshunt/cli/_node.py
+++ b/src/lovageshunt/cli/_node.py
@@ -28,7 +28,7 @@
     if settings.is_error():
         for problem in settings.error:
             write_error(str(problem))
-        return ExitCode.FAULTS
+        return ExitCode.INVALID_INPUT
     logs = settings.ok.logs
     limit = configure_logs(logs.level.upper(), int(logs.records_per_second))
     try:
@@ -36,7 +36,7 @@
         return ExitCode(asyncio.run(daemon.run()))
     except SecurityFileError as error:
         write_error(str(error))
-        return ExitCode.FAULTS
+        return ExitCode.INVALID_INPUT
     except OSError as error:
         write_error(
             f'node stopped: {error}; check the files and addresses in the '
--- a/src/lovageshunt/cli/_rules.py
+++ b/src/lovageshunt/cli/_rules.py
@@ -40,7 +40,7 @@
             return ExitCode.SUCCESS
         case Result(error=faults):
             show_faults(faults, values)
-    return ExitCode.FAULTS
+    return ExitCode.INVALID_INPUT
 
 
 def diff(arguments: Sequence[str], values: FlagValues) -> ExitCode:
@@ -55,7 +55,7 @@
             case Result(error=faults):
                 write_error(f'{name} is invalid; its faults are listed below')
                 show_faults(faults, values)
-                return ExitCode.FAULTS
+                return ExitCode.INVALID_INPUT
     show_changes(changes_between(documents[0], documents[1]), values)
     return ExitCode.SUCCESS
 
@@ -72,7 +72,7 @@
             return _write_document(sheet.document, values)
         case Result(error=faults):
             show_faults(faults, values)
-    return ExitCode.FAULTS
+    return ExitCode.INVALID_INPUT
 
 
 def status(arguments: Sequence[str], values: FlagValues) -> ExitCode:
@@ -140,7 +140,7 @@
 
 def _report_wrong_arguments(expected: str) -> ExitCode:
     write_error(f'expected {expected}; see --help')
-    return ExitCode.FAULTS
+    return ExitCode.INVALID_INPUT
 
 
 def _define_services(values: FlagValues) -> None:
--- a/src/lovageshunt/cli/_rules_status.py
+++ b/src/lovageshunt/cli/_rules_status.py
@@ -63,7 +63,7 @@
             return _show([read_answer(answer) for answer in answers], values)
         case Result(error=problem):
             write_error(problem)
-    return ExitCode.FAULTS
+    return ExitCode.INVALID_INPUT
 
 
 def _show(answers: list[NodeRules], values: FlagValues) -> ExitCode:
--- a/src/lovageshunt/cli/_status.py
+++ b/src/lovageshunt/cli/_status.py
@@ -52,13 +52,13 @@
     """Print one row per node; fail if any node does not answer."""
     if arguments:
         write_error('expected flags only, got other arguments; see --help')
-        return ExitCode.FAULTS
+        return ExitCode.INVALID_INPUT
     match query_nodes(_STATUS_PATH, values):
         case Result(tag='ok', ok=answers):
             _show(answers, values)
         case Result(error=problem):
             write_error(problem)
-            return ExitCode.FAULTS
+            return ExitCode.INVALID_INPUT
     if any(answer.error for answer in answers):
         return ExitCode.FAILED
     return ExitCode.SUCCESS
--- a/src/lovageshunt/cli/_top.py
+++ b/src/lovageshunt/cli/_top.py
@@ -19,7 +19,7 @@
     with suppress(KeyboardInterrupt):
         for shown in count(1):
             code = status(arguments, values)
-            if code is ExitCode.FAULTS or shown == values.count:
+            if code is ExitCode.INVALID_INPUT or shown == values.count:
                 break
             time.sleep(values.get_flag_value('interval-seconds', None))
     return code
--- a/src/lovageshunt/cli/_trace.py
+++ b/src/lovageshunt/cli/_trace.py
@@ -30,13 +30,13 @@
     """Print the spans of one request, merged from all nodes."""
     if len(arguments) != 1 or not _ID_PATTERN.fullmatch(arguments[0]):
         write_error('expected exactly one trace id or request id; see --help')
-        return ExitCode.FAULTS
+        return ExitCode.INVALID_INPUT
     match query_nodes(f'/v1/traces/{arguments[0]}', values):
         case Result(tag='ok', ok=answers):
             spans, errors = _decode_spans(answers)
         case Result(error=problem):
             write_error(problem)
-            return ExitCode.FAULTS
+            return ExitCode.INVALID_INPUT
     if values.json:
         write_json({'spans': [span.as_dict() for span in spans]})
     else:
--- a/tests/cli/test_node.py
+++ b/tests/cli/test_node.py
@@ -13,7 +13,7 @@
         code = main(['node', f'--settings={path}'])
         lines = capsys.readouterr().err.splitlines()
 
-        assert code == ExitCode.FAULTS
+        assert code == ExitCode.INVALID_INPUT
         assert any(
             str(path) in line and '[listen] ingress' in line and 'here' in line
             for line in lines
@@ -24,4 +24,4 @@
         """A missing settings file is invalid input."""
         path = tmp_path / 'none.ini'
 
-        assert main(['node', f'--settings={path}']) == ExitCode.FAULTS
+        assert main(['node', f'--settings={path}']) == ExitCode.INVALID_INPUT
