--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -188,13 +188,13 @@
 
     async def publish(self, name: str, document: object) -> None:
         """Publish a value on the platform, as operators do."""
-        await self.order({'publish': {name: document}})
+        await self.control_platform({'publish': {name: document}})
 
     async def publish_vms(self) -> None:
         """Publish the current entries of all VMs."""
         await self.publish('vms', [vm.published_entry() for vm in self.vms])
 
-    async def order(self, command: dict[str, Any]) -> None:
+    async def control_platform(self, command: dict[str, Any]) -> None:
         """Send a control command to the platform; see ``PlatformState``."""
         await self._post(f'http://{self.platform_address}/control', command)
 
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -83,13 +83,13 @@
 @given('the platform is out')
 def platform_out(world):
     """Let the platform fail."""
-    world.run(world.fleet.order({'outage': True}))
+    world.run(world.fleet.control_platform({'outage': True}))
 
 
 @then('the platform is back')
 def platform_back(world):
     """Let the platform answer again."""
-    world.run(world.fleet.order({'outage': False}))
+    world.run(world.fleet.control_platform({'outage': False}))
 
 
 @when(parsers.parse('{node} goes on'))
@@ -349,7 +349,7 @@
 def goes_back(world):
     """Publish yesterday's rules and count revisions from the start."""
     world.run(world.fleet.publish('rules', world.document(1)))
-    world.run(world.fleet.order({'restart': True}))
+    world.run(world.fleet.control_platform({'restart': True}))
 
 
 @when(
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -100,7 +100,7 @@
 
     async def restore(self) -> None:
         """Bring back what the scenario before has stopped or changed."""
-        await self.fleet.order({'outage': False, 'stale': False})
+        await self.fleet.control_platform({'outage': False, 'stale': False})
         for vm in self.fleet.vms:
             is_listed = vm.state == 'live'
             vm.state = 'live'
