--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -114,7 +114,7 @@
             for plan in plans
             for index in range(plan.instances)
         ]
-        self.by_name = {vm.name: vm for vm in self.vms}
+        self.vm_by_name = {vm.name: vm for vm in self.vms}
         self._platform: asyncio.subprocess.Process | None = None
         self._session: aiohttp.ClientSession | None = None
 
@@ -160,7 +160,7 @@
 
     async def start_node(self, name: str) -> None:
         """Write the node's settings file and start the node."""
-        vm = self.by_name[name]
+        vm = self.vm_by_name[name]
         path = self.folder / f'{name}.ini'
         path.write_text(self._node_settings(vm), encoding='utf-8')
         vm.node_process = await self._spawn(
@@ -173,7 +173,7 @@
 
     async def start_target(self, name: str) -> None:
         """Write the target's specification file and start the target."""
-        vm = self.by_name[name]
+        vm = self.vm_by_name[name]
         path = self.folder / f'{name}.json'
         path.write_bytes(orjson.dumps(self._target_spec(vm)))
         vm.target_process = await self._spawn(
@@ -182,7 +182,7 @@
 
     async def wait_for(self, name: str) -> None:
         """Wait until a VM's target is healthy and its node is ready."""
-        vm = self.by_name[name]
+        vm = self.vm_by_name[name]
         await self._wait_until_up(f'http://{vm.target}/health')
         await self._wait_until_up(f'http://{vm.admin}/v1/ready')
 
@@ -200,7 +200,7 @@
 
     async def control_target(self, name: str, **fields: Any) -> None:
         """Set fields of a target's ``TargetSpec`` while it runs."""
-        vm = self.by_name[name]
+        vm = self.vm_by_name[name]
         await self._post(f'http://{vm.target}/control', fields)
 
     async def stop_node(self, name: str) -> int:
@@ -218,7 +218,7 @@
 
     async def kill_vm(self, name: str) -> None:
         """Kill a VM's node and target with SIGKILL."""
-        vm = self.by_name[name]
+        vm = self.vm_by_name[name]
         for process in (vm.node_process, vm.target_process):
             if process is not None and process.returncode is None:
                 process.kill()
@@ -234,7 +234,7 @@
 
     async def admin(self, name: str, path: str) -> Any:
         """Return the JSON that a node's admin API answers."""
-        url = f'http://{self.by_name[name].admin}{path}'
+        url = f'http://{self.vm_by_name[name].admin}{path}'
         async with self._client().get(url) as response:
             return orjson.loads(await response.read())
 
@@ -254,7 +254,7 @@
         )
 
     def _node(self, name: str) -> asyncio.subprocess.Process:
-        process = self.by_name[name].node_process
+        process = self.vm_by_name[name].node_process
         if process is None:
             raise RuntimeError(
                 f'node {name} is not started; call start_node() first'
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -319,7 +319,7 @@
 @when(parsers.parse('the platform lists {node} as leaving'))
 def listed_leaving(world, node):
     """Publish the list with one VM leaving."""
-    world.fleet.by_name[node].state = 'leaving'
+    world.fleet.vm_by_name[node].state = 'leaving'
     world.run(world.fleet.publish_vms())
 
 
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -139,7 +139,7 @@
             headers['lovageshunt-age-ms'] = str(self.age_ms(request_id))
         if poison:
             headers['x-poison'] = '1'
-        url = f'http://{self.fleet.by_name[node].ingress}{path}'
+        url = f'http://{self.fleet.vm_by_name[node].ingress}{path}'
         try:
             async with self.session.request(
                 method,
