--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -79,7 +79,7 @@
         self.target_process: asyncio.subprocess.Process | None = None
 
     @property
-    def is_whole(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the node and the target processes are both running."""
         return all(
             process is not None and process.returncode is None
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -104,7 +104,7 @@
         for vm in self.fleet.vms:
             is_listed = vm.state == 'live'
             vm.state = 'live'
-            if is_listed and vm.is_whole:
+            if is_listed and vm.is_running:
                 continue
             await self.fleet.kill_vm(vm.name)
             await self.fleet.start_vm(vm.name)
