--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -224,7 +224,7 @@
                 process.kill()
                 await process.wait()
 
-    def freeze_node(self, name: str) -> None:
+    def suspend_node(self, name: str) -> None:
         """Suspend a node's process with SIGSTOP."""
         self._node(name).send_signal(signal.SIGSTOP)
 
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -77,7 +77,7 @@
 @given(parsers.parse('{node} is frozen'))
 def frozen(world, node):
     """Suspend a node."""
-    world.fleet.freeze_node(node)
+    world.fleet.suspend_node(node)
 
 
 @given('the platform is out')
