--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -228,7 +228,7 @@
         """Suspend a node's process with SIGSTOP."""
         self._node(name).send_signal(signal.SIGSTOP)
 
-    def thaw_node(self, name: str) -> None:
+    def resume_node(self, name: str) -> None:
         """Resume a suspended node's process with SIGCONT."""
         self._node(name).send_signal(signal.SIGCONT)
 
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -95,7 +95,7 @@
 @when(parsers.parse('{node} goes on'))
 def thawed(world, node):
     """Let a suspended node go on."""
-    world.fleet.thaw_node(node)
+    world.fleet.resume_node(node)
 
 
 @when(
