--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -238,7 +238,7 @@
         async with self._client().get(url) as response:
             return orjson.loads(await response.read())
 
-    def witnessed(self, service: str) -> list[tuple[str, str, str]]:
+    def execution_events(self, service: str) -> list[tuple[str, str, str]]:
         """Return event, request id and call id of all records of a service."""
         lines = [
             line.split(' ')
@@ -250,7 +250,9 @@
     def executions(self, service: str) -> Counter[str]:
         """Return the executions by call id, over all targets of a service."""
         return Counter(
-            call for event, _, call in self.witnessed(service) if event == 'ran'
+            call
+            for event, _, call in self.execution_events(service)
+            if event == 'ran'
         )
 
     def _node(self, name: str) -> asyncio.subprocess.Process:
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -169,9 +169,10 @@
 
     def lines(self, service: str, what: str, request_id: str) -> int:
         """Return how often targets witnessed something of a request."""
-        witnessed = self.fleet.witnessed(service)
+        execution_events = self.fleet.execution_events(service)
         return sum(
-            line[0] == what and line[1] == request_id for line in witnessed
+            line[0] == what and line[1] == request_id
+            for line in execution_events
         )
 
     async def restart_crashed(self) -> None:
