--- a/bench/live.py
+++ b/bench/live.py
@@ -138,7 +138,7 @@
     answered = sum(
         count for told, count in outcomes.told.items() if told[1] == 'answered'
     )
-    ran = sum(fleet.executions('records').values())
+    ran = sum(fleet.execution_counts('records').values())
     return (
         f'{times:4g}x  goodput {goodput:5.0f}/s of {_CAPACITY:.0f}/s '
         f'({goodput / _CAPACITY:4.0%})  '
--- a/demo/_checks.py
+++ b/demo/_checks.py
@@ -34,7 +34,7 @@
 ) -> Findings:
     """Compare the outcomes reported to callers with the executions."""
     findings = Findings()
-    purchases = fleet.executions(plan.purchase[0])
+    purchases = fleet.execution_counts(plan.purchase[0])
     ran = _executions_by_request(plan, fleet)
     findings.check(
         'purchases run at most once',
@@ -87,6 +87,6 @@
 def _executions_by_request(plan: DeploymentPlan, fleet: Fleet) -> Counter[str]:
     ran: Counter[str] = Counter()
     for service in plan.services:
-        for call_id, count in fleet.executions(service.name).items():
+        for call_id, count in fleet.execution_counts(service.name).items():
             ran[call_id.split('.')[0]] += count
     return ran
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -247,7 +247,7 @@
         ]
         return [(event, request, call) for event, _, request, call in lines]
 
-    def executions(self, service: str) -> Counter[str]:
+    def execution_counts(self, service: str) -> Counter[str]:
         """Return the executions by call id, over all targets of a service."""
         return Counter(
             call
