--- a/standins/store.py
+++ b/standins/store.py
@@ -17,7 +17,7 @@
     """Serves items on a loopback port.
 
     ``page`` is the maximum number of items per answer, ``revision`` the
-    revision of the last change, ``calls`` the number of requests received.
+    revision of the last change, ``request_count`` the number of requests received.
     """
 
     def __init__(self, host: str = '127.0.0.1', page: int = 500) -> None:
@@ -25,7 +25,7 @@
         self.port = 0
         self.page = page
         self.revision = 1
-        self.calls = 0
+        self.request_count = 0
         #: If set, every request is answered with this status.
         self.status: int | None = None
         #: Whether requests are accepted and never answered.
@@ -76,7 +76,7 @@
 
     def handle(self, request: Request, connection: ServerConnection) -> None:
         """Answer one request; implements the server interface of ``http1``."""
-        self.calls += 1
+        self.request_count += 1
         if self.is_silent:
             return
         if self.status is not None:
--- a/tests/platform/test_follow.py
+++ b/tests/platform/test_follow.py
@@ -97,12 +97,12 @@
     async def test_batches_changes(self) -> None:
         """Changes in quick succession cost few calls to the store."""
         async with following() as (store, fleet_state):
-            before = store.calls
+            before = store.request_count
             for version in range(4, 24):
                 store.put('op/config', configuration(version))
                 await asyncio.sleep(0.02)
             await until(lambda: fleet_state.versions[-1] == 23)
-            assert store.calls - before < 10
+            assert store.request_count - before < 10
 
     async def test_rereads_everything_when_history_is_lost(self) -> None:
         """After status 410 the complete list replaces the targets."""
