--- a/standins/store.py
+++ b/standins/store.py
@@ -31,7 +31,7 @@
         #: Whether requests are accepted and never answered.
         self.is_silent = False
         #: Watches from before this revision get status 410.
-        self.forgotten = 0
+        self.compacted_revision = 0
         self._items: dict[str, dict[str, object]] = {}
         self._events: list[dict[str, object]] = []
         self._changed = asyncio.Event()
@@ -118,7 +118,7 @@
         connection: ServerConnection,
     ) -> None:
         after = int(query['after'])
-        if after < self.forgotten:
+        if after < self.compacted_revision:
             connection.respond(status=410, fields=b'', body=b'{}')
             return
         try:
--- a/tests/platform/test_follow.py
+++ b/tests/platform/test_follow.py
@@ -107,7 +107,7 @@
     async def test_rereads_everything_when_history_is_lost(self) -> None:
         """After status 410 the complete list replaces the targets."""
         async with following() as (store, fleet_state):
-            store.forgotten = store.revision + 10
+            store.compacted_revision = store.revision + 10
             store.remove('servers/i-2')
             store.put('servers/i-3', entry())
             await until(lambda: fleet_state.ids == {'i-1', 'i-3'})
