--- a/standins/store.py
+++ b/standins/store.py
@@ -16,14 +16,14 @@
 class StoreStandIn:
     """Serves items on a loopback port.
 
-    ``page`` is the maximum number of items per answer, ``revision`` the
+    ``page_size`` is the maximum number of items per answer, ``revision`` the
     revision of the last change, ``request_count`` the number of requests received.
     """
 
-    def __init__(self, host: str = '127.0.0.1', page: int = 500) -> None:
+    def __init__(self, host: str = '127.0.0.1', page_size: int = 500) -> None:
         self.host = host
         self.port = 0
-        self.page = page
+        self.page_size = page_size
         self.revision = 1
         self.request_count = 0
         #: If set, every request is answered with this status.
@@ -106,8 +106,8 @@
             if key.startswith(prefix) and key > query.get('after', '')
         ]
         body = {
-            'items': found[: self.page],
-            'has_more': len(found) > self.page,
+            'items': found[: self.page_size],
+            'has_more': len(found) > self.page_size,
             'at': self.revision,
         }
         connection.respond(status=200, fields=b'', body=orjson.dumps(body))
--- a/tests/platform/test_follow.py
+++ b/tests/platform/test_follow.py
@@ -47,10 +47,10 @@
 
 @asynccontextmanager
 async def following(
-    page: int = 500,
+    page_size: int = 500,
 ) -> AsyncIterator[tuple[StoreStandIn, FakeFleetState]]:
     """Follow a store with one configuration and two targets."""
-    store = StoreStandIn(page=page)
+    store = StoreStandIn(page_size=page_size)
     await store.open()
     store.put('op/config', configuration(3))
     store.put('servers/i-1', entry())
@@ -82,7 +82,7 @@
 
     async def test_reads_all_pages(self) -> None:
         """A list in several pages is read to its end."""
-        async with following(page=1) as (_, fleet_state):
+        async with following(page_size=1) as (_, fleet_state):
             assert fleet_state.versions == [3]
             assert fleet_state.revision > 0
 
