--- a/standins/store.py
+++ b/standins/store.py
@@ -17,7 +17,8 @@
     """Serves items on a loopback port.
 
     ``page_size`` is the maximum number of items per answer, ``revision`` the
-    revision of the last change, ``request_count`` the number of requests received.
+    revision of the last change, ``request_count`` the number of requests
+    received.
     """
 
     def __init__(self, host: str = '127.0.0.1', page_size: int = 500) -> None:
