--- a/src/lovageshunt/cli/_rules.py
+++ b/src/lovageshunt/cli/_rules.py
@@ -53,7 +53,9 @@
             case Result(tag='ok', ok=document):
                 documents.append(document)
             case Result(error=faults):
-                write_error(f'{name} is invalid; see standard output for faults')
+                write_error(
+                    f'{name} is invalid; see standard output for faults'
+                )
                 show_faults(faults, values)
                 return ExitCode.INVALID_INPUT
     show_changes(changes_between(documents[0], documents[1]), values)
