--- a/tests/platform/test_follow.py
+++ b/tests/platform/test_follow.py
@@ -47,10 +47,10 @@
 
 @asynccontextmanager
 async def following(
-    page: int = 500,
+    page_size: int = 500,
 ) -> AsyncIterator[tuple[StoreStandIn, FakeFleetState]]:
     """Follow a store with one configuration and two targets."""
-    store = StoreStandIn(page=page)
+    store = StoreStandIn(page_size=page_size)
     await store.open()
     store.put('op/config', configuration(3))
     store.put('servers/i-1', entry())
@@ -82,7 +82,7 @@
 
     async def test_reads_all_pages(self) -> None:
         """A list in several pages is read to its end."""
-        async with following(page=1) as (_, fleet_state):
+        async with following(page_size=1) as (_, fleet_state):
             assert fleet_state.versions == [3]
             assert fleet_state.revision > 0
 
@@ -97,17 +97,17 @@
     async def test_batches_changes(self) -> None:
         """Changes in quick succession cost few calls to the store."""
         async with following() as (store, fleet_state):
-            before = store.calls
+            before = store.request_count
             for version in range(4, 24):
                 store.put('op/config', configuration(version))
                 await asyncio.sleep(0.02)
             await until(lambda: fleet_state.versions[-1] == 23)
-            assert store.calls - before < 10
+            assert store.request_count - before < 10
 
     async def test_rereads_everything_when_history_is_lost(self) -> None:
         """After status 410 the complete list replaces the targets."""
         async with following() as (store, fleet_state):
-            store.forgotten = store.revision + 10
+            store.compacted_revision = store.revision + 10
             store.remove('servers/i-2')
             store.put('servers/i-3', entry())
             await until(lambda: fleet_state.ids == {'i-1', 'i-3'})
--- a/tests/scenarios/conftest.py
+++ b/tests/scenarios/conftest.py
@@ -77,25 +77,25 @@
 @given(parsers.parse('{node} is suspended'))
 def suspended(world, node):
     """Suspend the process of a node."""
-    world.fleet.freeze_node(node)
+    world.fleet.suspend_node(node)
 
 
 @given('the platform is unavailable')
 def platform_unavailable(world):
     """Make the platform unavailable."""
-    world.run(world.fleet.order({'outage': True}))
+    world.run(world.fleet.control_platform({'outage': True}))
 
 
 @then('the platform is available again')
 def platform_available(world):
     """Make the platform available again."""
-    world.run(world.fleet.order({'outage': False}))
+    world.run(world.fleet.control_platform({'outage': False}))
 
 
 @when(parsers.parse('{node} resumes'))
 def resumed(world, node):
     """Resume the process of a node."""
-    world.fleet.thaw_node(node)
+    world.fleet.resume_node(node)
 
 
 @when(
@@ -320,7 +320,7 @@
 @when(parsers.parse('the platform lists {node} as leaving'))
 def listed_as_leaving(world, node):
     """Publish a VM list that marks one VM as leaving."""
-    world.fleet.by_name[node].state = 'leaving'
+    world.fleet.vm_by_name[node].state = 'leaving'
     world.run(world.fleet.publish_vms())
 
 
@@ -350,7 +350,7 @@
 def platform_reverts(world):
     """Publish the first generation again and reset the revision count."""
     world.run(world.fleet.publish('rules', world.document(1)))
-    world.run(world.fleet.order({'restart': True}))
+    world.run(world.fleet.control_platform({'restart': True}))
 
 
 @when(
--- a/tests/scenarios/world.py
+++ b/tests/scenarios/world.py
@@ -102,11 +102,11 @@
 
     async def restore(self) -> None:
         """Undo what the previous scenario stopped or changed."""
-        await self.fleet.order({'outage': False, 'stale': False})
+        await self.fleet.control_platform({'outage': False, 'stale': False})
         for vm in self.fleet.vms:
             is_listed = vm.state == 'live'
             vm.state = 'live'
-            if is_listed and vm.is_whole:
+            if is_listed and vm.is_running:
                 continue
             await self.fleet.kill_vm(vm.name)
             await self.fleet.start_vm(vm.name)
@@ -144,7 +144,7 @@
             headers['lovageshunt-age-ms'] = str(self.age_ms(request_id))
         if poison:
             headers['x-poison'] = '1'
-        url = f'http://{self.fleet.by_name[node].ingress}{path}'
+        url = f'http://{self.fleet.vm_by_name[node].ingress}{path}'
         try:
             async with self.session.request(
                 method,
@@ -176,9 +176,10 @@
 
     def count_events(self, service: str, kind: str, request_id: str) -> int:
         """Return how many events of a kind targets recorded for a request."""
-        witnessed = self.fleet.witnessed(service)
+        execution_events = self.fleet.execution_events(service)
         return sum(
-            line[0] == kind and line[1] == request_id for line in witnessed
+            line[0] == kind and line[1] == request_id
+            for line in execution_events
         )
 
     async def restart_crashed(self) -> None:
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -41,7 +41,7 @@
         names = words.split()
         count = 2 if names[0] in _COMMAND_GROUPS else 1
 
-        assert main([*names[:count], '--help']) == ExitCode.FINE
+        assert main([*names[:count], '--help']) == ExitCode.SUCCESS
 
     @pytest.mark.parametrize('module', names_on_pages(_MODULE_PATTERN))
     def test_module_exists(self, module):
