--- a/src/lovageshunt/cli/_account_report.py
+++ b/src/lovageshunt/cli/_account_report.py
@@ -66,7 +66,7 @@
             callers=self.account.lines(Role.CALLER),
             nodes=self.account.lines(),
             services_with_gaps=[
-                service for hole in self.gaps for service in hole.services
+                service for gap in self.gaps for service in gap.services
             ],
             callers_taken_at=min(
                 self.account.taken_at(Role.CALLER),
@@ -153,16 +153,16 @@
         collection = self._collection
         return [
             *map(str, collection.errors),
-            *map(_hole_line, collection.gaps),
+            *map(_gap_line, collection.gaps),
             *map(_imbalance_line, collection.imbalances()),
             *map(_difference_line, self.differences),
         ]
 
 
-def _hole_line(hole: AccountGap) -> str:
+def _gap_line(gap: AccountGap) -> str:
     return (
-        f'hole: {hole.node} {hole.incarnation} from '
-        f'{_format_time(hole.from_at)} to {_format_time(hole.to_at)}'
+        f'hole: {gap.node} {gap.incarnation} from '
+        f'{_format_time(gap.from_at)} to {_format_time(gap.to_at)}'
     )
 
 
