--- a/bench/run_once/_callers.py
+++ b/bench/run_once/_callers.py
@@ -100,7 +100,7 @@
         )
         self.told[1] = Outcome.NOT_RUN if is_not_run else Outcome.UNKNOWN
 
-    def hear(self, call_id: str, outcome: Outcome) -> None:
+    def record_answer(self, call_id: str, outcome: Outcome) -> None:
         """Take the answer to one attempt."""
         _, _, attempt, send = call_id.split('/')
         if self.kind is CallerKind.HOP and int(attempt) == 1:
--- a/bench/run_once/_people.py
+++ b/bench/run_once/_people.py
@@ -26,11 +26,11 @@
         self._ends_at = caller.born_at + _PATIENCE_SECONDS
         self._attempt(0)
 
-    def hear(self, call_id: str, outcome: Outcome) -> None:
+    def record_answer(self, call_id: str, outcome: Outcome) -> None:
         """Take an answer."""
         if self.ended is not None:
             return
-        self.caller.hear(call_id, outcome)
+        self.caller.record_answer(call_id, outcome)
         if outcome in {Outcome.ANSWERED, Outcome.FAILED}:
             self.ended = outcome
             return
@@ -89,7 +89,7 @@
         self._begin()
 
     def _hear(self, call_id: str, outcome: Outcome) -> None:
-        self.by_key[call_id.split('/')[0]].hear(call_id, outcome)
+        self.by_key[call_id.split('/')[0]].record_answer(call_id, outcome)
 
     def _miss(self, call_id: str) -> None:
         self.by_key[call_id.split('/')[0]].miss(call_id)
--- a/tests/idempotency/test_fleet.py
+++ b/tests/idempotency/test_fleet.py
@@ -153,7 +153,7 @@
 
     def _on_answer(self, call_id, outcome):
         key = int(call_id.split('/')[0])
-        self.callers[key].hear(call_id, outcome)
+        self.callers[key].record_answer(call_id, outcome)
 
     def _on_unsent(self, call_id):
         self.callers[int(call_id.split('/')[0])].unsent(call_id)
--- a/tests/idempotency/test_safeguards.py
+++ b/tests/idempotency/test_safeguards.py
@@ -147,7 +147,7 @@
         self.learn()
         self.fleet.now += 30
         self.caller = Caller(key='0', kind=kind, born_at=self.fleet.now)
-        self.fleet.on_answer = self.caller.hear
+        self.fleet.on_answer = self.caller.record_answer
 
     def learn(self, hidden=''):
         """Let every node read a list without ``hidden`` and be confirmed."""
