--- a/bench/run_once/__main__.py
+++ b/bench/run_once/__main__.py
@@ -90,7 +90,9 @@
         fleet.executions[purchase.caller.key] > 1 for purchase in bought
     )
     wronged = sum(
-        purchase.caller.is_wronged(fleet.executions[purchase.caller.key])
+        purchase.caller.breaks_at_most_once(
+            fleet.executions[purchase.caller.key]
+        )
         for purchase in bought
     )
     shown = ''.join(f'{cell:8d}' for cell in cells)
--- a/bench/run_once/_callers.py
+++ b/bench/run_once/_callers.py
@@ -115,7 +115,7 @@
         if is_last and self.kind is not CallerKind.HOP:
             self.last_attempt -= 1
 
-    def is_wronged(self, executions: int) -> bool:
+    def breaks_at_most_once(self, executions: int) -> bool:
         """Return whether the call ran twice, or ran though *not run*."""
         if self.kind is CallerKind.UNNUMBERED:
             was_refused = Outcome.NOT_RUN in self.told.values()
--- a/tests/idempotency/test_fleet.py
+++ b/tests/idempotency/test_fleet.py
@@ -149,7 +149,7 @@
         """Each call runs at most once, and never after *not run*."""
         for caller in self.callers:
             executions = self.fleet.executions[caller.key]
-            assert not caller.is_wronged(executions)
+            assert not caller.breaks_at_most_once(executions)
 
     def _on_answer(self, call_id, outcome):
         key = int(call_id.split('/')[0])
--- a/tests/idempotency/test_safeguards.py
+++ b/tests/idempotency/test_safeguards.py
@@ -181,7 +181,7 @@
 
     def violates_at_most_once(self):
         """Return whether the call ran twice, or ran after *not run*."""
-        return self.caller.is_wronged(self.fleet.executions['0'])
+        return self.caller.breaks_at_most_once(self.fleet.executions['0'])
 
 
 def _resend_elsewhere(factory):
