--- a/bench/run_once/_callers.py
+++ b/bench/run_once/_callers.py
@@ -91,7 +91,7 @@
         attempt = next_attempt_number(1, is_proved_not_run=is_new)
         self._send(fleet, attempt, self._stamp, self._stamp or pick(homes))
 
-    def hop_gives_up(self) -> None:
+    def answer_from_hop(self) -> None:
         """Let the stamping service answer the caller's first attempt."""
         if not self._hop_told or 1 in self.told:
             return
--- a/tests/idempotency/test_fleet.py
+++ b/tests/idempotency/test_fleet.py
@@ -60,7 +60,7 @@
             return
         caller = _pick(self.callers, which)
         if gives_up:
-            caller.hop_gives_up()
+            caller.answer_from_hop()
             return
         caller.hop(self.fleet, self.homes, lambda all_: _pick(all_, index))
 
