--- a/bench/run_once/_callers.py
+++ b/bench/run_once/_callers.py
@@ -108,7 +108,7 @@
             return
         self.told[int(attempt)] = outcome
 
-    def unsent(self, call_id: str) -> None:
+    def undo_attempt(self, call_id: str) -> None:
         """Take back the last attempt, for which no connection was made."""
         attempt = int(call_id.split('/')[2])
         is_last = attempt == self.last_attempt and attempt not in self.told
--- a/bench/run_once/_people.py
+++ b/bench/run_once/_people.py
@@ -55,7 +55,7 @@
 
     def _take_back(self, call_id: str) -> None:
         if self.ended is None:
-            self.caller.unsent(call_id)
+            self.caller.undo_attempt(call_id)
             self._attempt(self.caller.last_attempt)
 
     def _later(self, seconds: float) -> None:
--- a/tests/idempotency/test_fleet.py
+++ b/tests/idempotency/test_fleet.py
@@ -156,7 +156,7 @@
         self.callers[key].record_answer(call_id, outcome)
 
     def _on_unsent(self, call_id):
-        self.callers[int(call_id.split('/')[0])].unsent(call_id)
+        self.callers[int(call_id.split('/')[0])].undo_attempt(call_id)
 
     def _machine(self, index):
         return _pick(list(self.fleet.by_name.values()), index)
