--- a/bench/run_once/_faults.py
+++ b/bench/run_once/_faults.py
@@ -80,12 +80,12 @@
 
 def _cut(world: World) -> None:
     victim = world.victim
-    victim.side = 1
+    victim.partition = 1
     world.fleet.after(20, lambda: _heal(victim))
 
 
 def _heal(victim: Machine) -> None:
-    victim.side = 0
+    victim.partition = 0
 
 
 def _lose_unlisted(world: World) -> None:
--- a/bench/run_once/_machine.py
+++ b/bench/run_once/_machine.py
@@ -40,7 +40,7 @@
         'running',
         'held',
         'frozen_at',
-        'side',
+        'partition',
     )
 
     def __init__(self, home: HomeStamp, node: RunOnce) -> None:
@@ -53,7 +53,7 @@
         self.running: dict[str, str] = {}
         self.held: list[Message] = []
         self.frozen_at: float | None = None
-        self.side = 0
+        self.partition = 0
 
     def read(self, published: list[HomeStamp], now: float) -> None:
         """Read the published list; who is missing has departed.
--- a/bench/run_once/_network.py
+++ b/bench/run_once/_network.py
@@ -59,7 +59,11 @@
     def reach(self, machine: Machine, home: HomeStamp) -> Machine | None:
         """Return a peer that is there, with no cut between."""
         peer = self.by_name.get(home.node)
-        if peer is None or peer.home != home or peer.side != machine.side:
+        if (
+            peer is None
+            or peer.home != home
+            or peer.partition != machine.partition
+        ):
             return None
         return peer
 
@@ -83,7 +87,7 @@
         if asker is None or asker.home != message.asker:
             return
         peer = self.by_name.get(message.question.peer.node)
-        if peer is not None and peer.side == asker.side:
+        if peer is not None and peer.partition == asker.partition:
             self.receive(peer, message)
             return
         failed = ReplyMessage(
--- a/tests/idempotency/test_fleet.py
+++ b/tests/idempotency/test_fleet.py
@@ -135,7 +135,7 @@
     def cut(self, sides):
         """The network is partitioned, or a partition ends."""
         for bit, machine in enumerate(self.fleet.by_name.values()):
-            machine.side = sides >> bit & 1
+            machine.partition = sides >> bit & 1
 
     @rule(seconds=st.sampled_from(_WAITS_SECONDS))
     def wait(self, seconds):
--- a/tests/idempotency/test_safeguards.py
+++ b/tests/idempotency/test_safeguards.py
@@ -210,7 +210,7 @@
 def _resend_across_a_partition(factory):
     scenario = _Scenario(factory)
     scenario.arrive(scenario.send('a'))
-    scenario.fleet.by_name['a'].side = 1
+    scenario.fleet.by_name['a'].partition = 1
     scenario.arrive(scenario.send('b'))
     return scenario
 
