--- a/bench/run_once/_fleet.py
+++ b/bench/run_once/_fleet.py
@@ -62,7 +62,7 @@
             if machine.home not in peer.listed:
                 peer.listed.append(machine.home)
         if len(met) == len(machine.listed):
-            self.tell(machine, Settled())
+            self.handle_event(machine, Settled())
 
     def kill(self, machine: Machine) -> None:
         """Lose a VM with everything on it."""
@@ -80,7 +80,7 @@
         machine.frozen_at = None
         held = machine.held
         machine.held = []
-        self.tell(machine, Resumed(gap_seconds=gap))
+        self.handle_event(machine, Resumed(gap_seconds=gap))
         for message in held:
             self.receive(machine, message)
 
@@ -88,7 +88,7 @@
         """Stop a node as planned and hand its calls to two peers."""
         for call_id in tuple(machine.running):
             self.finish(machine, call_id, Outcome.ANSWERED)
-        self.tell(machine, Leaving())
+        self.handle_event(machine, Leaving())
         handed = machine.node.handle(Drained(), self.now)
         reached = [self.reach(machine, home) for home in machine.listed]
         heirs = [
@@ -104,7 +104,7 @@
     def admit(self, machine: Machine, call_id: str) -> None:
         """Let a queued call through to the target."""
         machine.queue.remove(call_id)
-        self.tell(machine, DispatchDue(call_id=call_id))
+        self.handle_event(machine, DispatchDue(call_id=call_id))
 
     def refuse(self, machine: Machine, call_id: str) -> None:
         """Refuse a queued call for overload."""
@@ -114,12 +114,12 @@
             reason=RefusalReason.OVERLOAD,
             retry_after_ms=100,
         )
-        self.tell(machine, refused)
+        self.handle_event(machine, refused)
 
     def cancel(self, machine: Machine, call_id: str) -> None:
         """Let the caller of a queued call go away."""
         machine.queue.remove(call_id)
-        self.tell(machine, WaiterCancelled(call_id=call_id))
+        self.handle_event(machine, WaiterCancelled(call_id=call_id))
 
     def finish(
         self,
@@ -132,7 +132,7 @@
         kept = _ANSWER if outcome is Outcome.ANSWERED else None
         ending = Ending(outcome=outcome, answer=kept)
         self.send(AnswerMessage(call_id=call_id, outcome=outcome))
-        self.tell(machine, Completed(key=key, ending=ending))
+        self.handle_event(machine, Completed(key=key, ending=ending))
 
     def _hand_over(
         self,
@@ -142,4 +142,4 @@
     ) -> None:
         event = HandOverReceived(leaver=leaver.home, entries=handed.entries)
         for heir in heirs:
-            self.tell(heir, event)
+            self.handle_event(heir, event)
--- a/bench/run_once/_network.py
+++ b/bench/run_once/_network.py
@@ -42,7 +42,7 @@
         """Put a message on its way."""
         self.messages.append(message)
 
-    def tell(self, machine: Machine, event: run_once.Event) -> None:
+    def handle_event(self, machine: Machine, event: run_once.Event) -> None:
         """Give a node an event and do what it asks."""
         for action in machine.node.handle(event, self.now):
             _perform(action, machine, self)
@@ -54,7 +54,7 @@
             return
         if isinstance(message, InquiryMessage):
             self.question = message.question
-        self.tell(machine, _event_of(message, machine, self.now))
+        self.handle_event(machine, _event_of(message, machine, self.now))
 
     def reach(self, machine: Machine, home: HomeStamp) -> Machine | None:
         """Return a peer that is there, with no cut between."""
--- a/bench/run_once/_timed.py
+++ b/bench/run_once/_timed.py
@@ -61,9 +61,9 @@
         jitter = self.random.expovariate(1 / _JITTER_SECONDS)
         self.after(_HOP_SECONDS + jitter, lambda: self.deliver(message))
 
-    def tell(self, machine: Machine, event: Event) -> None:
+    def handle_event(self, machine: Machine, event: Event) -> None:
         """Give a node an event; what it queues is admitted at once."""
-        super().tell(machine, event)
+        super().handle_event(machine, event)
         for call_id in tuple(machine.queue):
             self.admit(machine, call_id)
             if call_id in machine.running:
@@ -90,5 +90,5 @@
     def _tick(self) -> None:
         for machine in tuple(self.by_name.values()):
             if machine.frozen_at is None:
-                self.tell(machine, RunOnceTicked())
+                self.handle_event(machine, RunOnceTicked())
         self.after(_TICK_SECONDS, self._tick)
--- a/tests/idempotency/test_fleet.py
+++ b/tests/idempotency/test_fleet.py
@@ -91,7 +91,7 @@
     @rule(index=_INDEX)
     def leave(self, index):
         """A node begins a planned stop, which may take long."""
-        self.fleet.tell(self._machine(index), Leaving())
+        self.fleet.handle_event(self._machine(index), Leaving())
 
     @rule(index=_INDEX, outcome=st.sampled_from(_ENDINGS))
     def finish(self, index, outcome):
@@ -142,7 +142,7 @@
         """Time passes."""
         self.fleet.now += seconds
         for machine in self._active(len(_NAMES)):
-            self.fleet.tell(machine, RunOnceTicked())
+            self.fleet.handle_event(machine, RunOnceTicked())
 
     @invariant()
     def calls_run_at_most_once(self):
