--- a/bench/retry_shares.py
+++ b/bench/retry_shares.py
@@ -39,7 +39,7 @@
         self.groups = groups
 
 
-class Odds(Record):
+class FailureProbabilities(Record):
     """How often a call fails at its target, is refused, or loses its answer."""
 
     __slots__ = ('failed', 'not_run', 'lost')
@@ -68,7 +68,7 @@
     def __init__(
         self,
         graph: Graph,
-        odds: Odds,
+        odds: FailureProbabilities,
         random: Random,
         pool_factory: PoolFactory = AllowancePool,
     ) -> None:
@@ -235,13 +235,15 @@
     }
 )
 _ODDS: Final = (
-    ('failures', Odds(failed=0.03, not_run=0, lost=0)),
-    ('lost answers', Odds(failed=0, not_run=0, lost=0.03)),
-    ('all kinds', Odds(failed=0.01, not_run=0.02, lost=0.01)),
+    ('failures', FailureProbabilities(failed=0.03, not_run=0, lost=0)),
+    ('lost answers', FailureProbabilities(failed=0, not_run=0, lost=0.03)),
+    ('all kinds', FailureProbabilities(failed=0.01, not_run=0.02, lost=0.01)),
 )
 
 
-def measure(odds: Odds, pool_factory: PoolFactory, depth: int) -> str:
+def measure(
+    odds: FailureProbabilities, pool_factory: PoolFactory, depth: int
+) -> str:
     """Return one row: answered share, mean and largest number of retries."""
     random = Random(depth)
     answered = 0
--- a/tests/retries/test_bound.py
+++ b/tests/retries/test_bound.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bench.retry_shares import Chain, Odds, random_graph
+from bench.retry_shares import Chain, FailureProbabilities, random_graph
 from lovageshunt.retries import AllowancePool
 
 _SEEDS = st.integers(0, 2**32)
@@ -38,7 +38,9 @@
     @given(
         seed=_SEEDS,
         depth=st.integers(1, _MAX_DEPTH),
-        odds=st.builds(Odds, failed=_CHANCE, not_run=_CHANCE, lost=_CHANCE),
+        odds=st.builds(
+            FailureProbabilities, failed=_CHANCE, not_run=_CHANCE, lost=_CHANCE
+        ),
         bound=st.integers(0, 12),
         resends=st.integers(0, 8),
     )
@@ -60,7 +62,7 @@
             _retries(
                 seed,
                 depth=_MAX_DEPTH,
-                odds=Odds(failed=0.3, not_run=0, lost=0),
+                odds=FailureProbabilities(failed=0.3, not_run=0, lost=0),
                 bound=3,
                 resends=0,
                 pool_factory=_CopyingPool,
