--- a/bench/retry_shares.py
+++ b/bench/retry_shares.py
@@ -62,7 +62,7 @@
         self.unspent = unspent
 
 
-class Chain:
+class RequestSimulation:
     """One root request in a graph; ``arrivals`` are counted at targets."""
 
     def __init__(
@@ -250,7 +250,7 @@
     retries: list[int] = []
     for _ in range(_REQUESTS):
         graph = random_graph(random, depth, 2)
-        chain = Chain(graph, odds, random, pool_factory)
+        chain = RequestSimulation(graph, odds, random, pool_factory)
         answered += chain.request(_BOUND, 1)
         retries.append(chain.retries)
     mean = sum(retries) / _REQUESTS
--- a/tests/retries/test_bound.py
+++ b/tests/retries/test_bound.py
@@ -5,7 +5,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bench.retry_shares import Chain, FailureProbabilities, random_graph
+from bench.retry_shares import (
+    RequestSimulation,
+    FailureProbabilities,
+    random_graph,
+)
 from lovageshunt.retries import AllowancePool
 
 _SEEDS = st.integers(0, 2**32)
@@ -26,7 +30,7 @@
 def _retries(seed, *, depth, odds, bound, resends, pool_factory=AllowancePool):
     random = Random(seed)
     graph = random_graph(random, depth, 2)
-    chain = Chain(graph, odds, random, pool_factory)
+    chain = RequestSimulation(graph, odds, random, pool_factory)
     for attempt in range(1, resends + 2):
         chain.request(bound, attempt)
     return chain.retries
