--- a/bench/membership.py
+++ b/bench/membership.py
@@ -131,7 +131,7 @@
         callers = fleet.unaware_of(name)
         began = fleet.now
         if announces:
-            fleet.handle_event(fleet.by_name[name], LeaveStarted())
+            fleet.tell(fleet.by_name[name], LeaveStarted())
         else:
             fleet.list_as(name, VmState.LEAVING)
             self.refusals.append(self._refusal_after(name))
--- a/bench/membership_fleet.py
+++ b/bench/membership_fleet.py
@@ -152,7 +152,7 @@
             step()
         self.now = until
 
-    def handle_event(self, node: Node, event: Record) -> None:
+    def tell(self, node: Node, event: Record) -> None:
         """Let a node handle an event and carry out its actions."""
         if node.is_up:
             for action in node.handle(event, self.now):
@@ -215,7 +215,7 @@
     def _tick_of(self, node: Node) -> Step:
         def tick() -> None:  # noqa: WPS430 the queue keeps steps
             if node.is_up:
-                self.handle_event(node, MembershipTicked())
+                self.tell(node, MembershipTicked())
                 self._after(TICK_SECONDS, tick)
 
         return tick
@@ -223,11 +223,11 @@
     def _answer_of(self, node: Node) -> Step:
         def answer() -> None:  # noqa: WPS430 the queue keeps steps
             if not self.platform_is_up:
-                self.handle_event(node, VmListReadFailed())
+                self.tell(node, VmListReadFailed())
                 return
             vms = list(self.listed.values())
             node.read_revision = self.revision
-            self.handle_event(
+            self.tell(
                 node, VmListReceived(VmList(revision=self.revision, vms=vms))
             )
 
@@ -240,7 +240,7 @@
             body = BulletinReceived(action.bulletin)
             self._send(node, action.peer.name, body, action.bulletin)
         if isinstance(action, OwnLeaveListed):
-            self.handle_event(node, LeaveStarted())
+            self.tell(node, LeaveStarted())
         if isinstance(action, SendDigest):
             event = DigestReceived(action.digest)
             self._send(node, action.peer.name, event, action.digest)
@@ -270,15 +270,13 @@
         receiver = self.by_name[name]
         if not self._arrives(sender, receiver):
             silent = PeerSilent(name)
-            self._after(
-                _TIMEOUT_SECONDS, lambda: self.handle_event(sender, silent)
-            )
+            self._after(_TIMEOUT_SECONDS, lambda: self.tell(sender, silent))
             return
         is_near = receiver.own.region == sender.own.region
         delay = _NEAR_SECONDS if is_near else _FAR_SECONDS
-        self._after(delay, lambda: self.handle_event(receiver, event))
+        self._after(delay, lambda: self.tell(receiver, event))
         answered = PeerAnswered(name, receiver.own.incarnation)
-        self._after(2 * delay, lambda: self.handle_event(sender, answered))
+        self._after(2 * delay, lambda: self.tell(sender, answered))
 
     def _arrives(self, sender: Node, receiver: Node) -> bool:
         is_cut = (
--- a/tests/membership/test_spread.py
+++ b/tests/membership/test_spread.py
@@ -41,7 +41,7 @@
 
     @rule(name=vms)
     def leave(self, name: str) -> None:
-        self.fleet.handle_event(self.fleet.by_name[name], LeaveStarted())
+        self.fleet.tell(self.fleet.by_name[name], LeaveStarted())
 
     @rule(name=vms)
     def restart(self, name: str) -> None:
