--- a/bench/run_once/__init__.py
+++ b/bench/run_once/__init__.py
@@ -1,4 +1,4 @@
-"""Nodes that run calls at most once, in memory, under faults."""
+"""In-memory fleet that tests at-most-once execution under faults."""
 
 from bench.run_once._callers import Caller, CallerKind
 from bench.run_once._fleet import Fleet
--- a/bench/run_once/__main__.py
+++ b/bench/run_once/__main__.py
@@ -1,6 +1,7 @@
-"""What each way of running a call at most once refuses under each fault.
+"""Compare strategies for at-most-once execution under faults.
 
-Run ``python -m bench.run_once``.
+Run ``python -m bench.run_once``. It prints how many purchases each strategy
+refuses or runs twice under each fault, and what an inquiry costs.
 """
 
 from collections import Counter
@@ -13,11 +14,11 @@
 import orjson
 
 from bench.run_once._callers import CallerKind
-from bench.run_once._faults import FAULTS, World
+from bench.run_once._faults import FAULTS, Environment
 from bench.run_once._machine import NodeFactory
-from bench.run_once._people import Crowd
+from bench.run_once._purchases import PurchaseLoad
+from bench.run_once._strategies import FixedHome, StampOnly, Unprotected
 from bench.run_once._timed import TimedFleet
-from bench.run_once._ways import FixedHome, StampOnly, Unprotected
 from lovageshunt.calls import HomeStamp, Outcome
 from lovageshunt.idempotency import (
     AttemptReceived,
@@ -29,20 +30,20 @@
     RunOnceSettings,
 )
 
-_Way = type[RunOnce]
+_Strategy = type[RunOnce]
 
-_RATE: Final = 100.0
-_FAULT_SECONDS: Final = 20.0
+_PURCHASES_PER_SECOND: Final = 100.0
+_FAULT_DELAY_SECONDS: Final = 20.0
 _RUN_SECONDS: Final = 60.0
 _SEED: Final = 7
-_SIZES: Final = (3, 31)
-_MANY: Final = 500
-_MICRO: Final = 1_000_000
+_FLEET_SIZES: Final = (3, 31)
+_INQUIRY_COUNT: Final = 500
+_US_PER_SECOND: Final = 1_000_000
 
 
-def _factory(way: _Way) -> NodeFactory:
+def _factory(strategy: _Strategy) -> NodeFactory:
     def make(home: HomeStamp, started_at: float) -> RunOnce:
-        return way(
+        return strategy(
             node=home.node,
             incarnation=home.incarnation,
             service='payments',
@@ -53,7 +54,7 @@
     return make
 
 
-_WAYS: Final = MappingProxyType(
+_STRATEGIES: Final = MappingProxyType(
     {
         'unprotected': Unprotected,
         'stamp only': StampOnly,
@@ -63,56 +64,64 @@
 )
 
 
-def _row(way: _Way, fault: str) -> str:
+def _row(strategy: _Strategy, fault: str) -> str:
     random = Random(_SEED)
-    fleet = TimedFleet(_factory(way), random)
-    world = World(fleet, 3)
+    fleet = TimedFleet(_factory(strategy), random)
+    environment = Environment(fleet, 3)
     fleet.run_until(fleet.now + 30)
-    crowd = Crowd(world, random, _RATE)
-    fleet.after(_FAULT_SECONDS, lambda: FAULTS[fault](world))
+    load = PurchaseLoad(environment, random, _PURCHASES_PER_SECOND)
+    fleet.schedule(_FAULT_DELAY_SECONDS, lambda: FAULTS[fault](environment))
     fleet.run_until(fleet.now + _RUN_SECONDS)
-    bought = [
+    purchases = [
         purchase
-        for purchase in crowd.by_key.values()
+        for purchase in load.by_key.values()
         if purchase.caller.born_at < fleet.now - 10
     ]
-    ends = Counter(
-        (purchase.caller.kind, purchase.outcome) for purchase in bought
+    count_by_outcome = Counter(
+        (purchase.caller.kind, purchase.outcome) for purchase in purchases
     )
     cells = [
-        ends[(kind, outcome)]
+        count_by_outcome[(kind, outcome)]
         for kind in CallerKind
         if kind is not CallerKind.HOP
         for outcome in (Outcome.UNKNOWN, Outcome.NOT_RUN)
     ]
-    failed = sum(purchase.outcome is Outcome.FAILED for purchase in bought)
-    doubled = sum(
-        fleet.executions[purchase.caller.key] > 1 for purchase in bought
+    failed_count = sum(
+        purchase.outcome is Outcome.FAILED for purchase in purchases
     )
-    wronged = sum(
+    duplicate_count = sum(
+        fleet.executions[purchase.caller.key] > 1 for purchase in purchases
+    )
+    violation_count = sum(
         purchase.caller.breaks_at_most_once(
             fleet.executions[purchase.caller.key]
         )
-        for purchase in bought
+        for purchase in purchases
+    )
+    cell_text = ''.join(f'{cell:8d}' for cell in cells)
+    return (
+        f'{len(purchases):8d}{cell_text}{failed_count:8d}'
+        f'{duplicate_count:8d}{violation_count:8d}'
     )
-    shown = ''.join(f'{cell:8d}' for cell in cells)
-    return f'{len(bought):8d}{shown}{failed:8d}{doubled:8d}{wronged:8d}'
 
 
 def _print_faults() -> None:
-    _print(f'{_RATE:.0f} purchases/s over 3 nodes, seed {_SEED}, one fault;')
+    _print(
+        f'{_PURCHASES_PER_SECOND:.0f} purchases/s over 3 nodes, '
+        f'seed {_SEED}, one fault;'
+    )
     _print('told unknown / not run in the end, by kind of caller')
     _print(
         'way            fault              bought  library         numbered'
         '        unnumbered      failed doubled wronged',
     )
-    for name, way in _WAYS.items():
+    for name, strategy in _STRATEGIES.items():
         for fault in FAULTS:
-            _print(f'{name:15}{fault:17}{_row(way, fault)}')
+            _print(f'{name:15}{fault:17}{_row(strategy, fault)}')
 
 
 def _inquiry_cost(size: int) -> str:
-    """Return messages, bytes and processor time of one inquiry."""
+    """Return a table row: messages, bytes and CPU time of one inquiry."""
     homes = tuple(
         HomeStamp(node=f'n{at:04d}', incarnation=f'{at:016x}')
         for at in range(size)
@@ -120,9 +129,9 @@
     asker, *peers = [_factory(RunOnce)(home, 0) for home in homes]
     promise = InquiryAnswer(claim=Claim.WILL_NOT_RUN, answerer=homes[1])
     sent = 0
-    began = process_time()
-    for at in range(_MANY):
-        requested = AttemptReceived(
+    started = process_time()
+    for at in range(_INQUIRY_COUNT):
+        attempt = AttemptReceived(
             call_id=str(at),
             key=str(at),
             attempt=2,
@@ -130,7 +139,7 @@
             age_ms=100,
             peers=homes[1:],
         )
-        asker.handle(requested, 1000)
+        asker.handle(attempt, 1000)
         for peer in homes[1:]:
             promise.answerer = peer
             answered = InquiryAnswered(
@@ -140,7 +149,7 @@
                 answer=promise,
             )
             sent += len(asker.handle(answered, 1000))
-    asking = (process_time() - began) / _MANY
+    asker_seconds = (process_time() - started) / _INQUIRY_COUNT
     question = InquiryReceived(
         key='0' * 32,
         asker=homes[0],
@@ -149,15 +158,16 @@
         digest=0,
         peers=homes[1:],
     )
-    began = process_time()
-    for at in range(_MANY):
+    started = process_time()
+    for at in range(_INQUIRY_COUNT):
         question.key = str(at)
         peers[0].handle(question, 1000)
-    answering = (process_time() - began) / _MANY
+    peer_seconds = (process_time() - started) / _INQUIRY_COUNT
     size_bytes = len(orjson.dumps(question.key)) + _wire_bytes(promise)
     return (
         f'{size:5d}{2 * (size - 1):10d}{size_bytes * (size - 1):10d}'
-        f'{asking * _MICRO:12.0f}{answering * _MICRO:12.0f}'
+        f'{asker_seconds * _US_PER_SECOND:12.0f}'
+        f'{peer_seconds * _US_PER_SECOND:12.0f}'
     )
 
 
@@ -178,7 +188,7 @@
     _print('cost of one inquiry: messages, JSON bytes without HTTP headers,')
     _print('processor microseconds at the asker and at each node asked')
     _print('nodes  messages     bytes       asker       asked')
-    for size in _SIZES:
+    for size in _FLEET_SIZES:
         _print(_inquiry_cost(size))
 
 
--- a/bench/run_once/_callers.py
+++ b/bench/run_once/_callers.py
@@ -1,4 +1,4 @@
-"""Callers with and without the library, and what they were told."""
+"""Callers with and without the library, and the answers they received."""
 
 from collections.abc import Callable, Sequence
 from enum import StrEnum
@@ -13,11 +13,11 @@
 
 
 class CallerKind(StrEnum):
-    """How a caller names its attempts.
+    """How a caller identifies its attempts.
 
-    ``LIBRARY``: numbered and stamped. ``NUMBERED``: numbered only.
-    ``UNNUMBERED``: neither. ``HOP``: a numbered caller whose first attempt
-    passes a service that stamps it and sends it again by itself.
+    ``LIBRARY``: by number and home stamp. ``NUMBERED``: by number only.
+    ``UNNUMBERED``: by neither. ``HOP``: by number, where the first attempt
+    goes through a service that stamps it and retries on its own.
     """
 
     LIBRARY = 'library'
@@ -27,32 +27,35 @@
 
 
 class Caller:
-    """One person's purchase and its attempts.
+    """One purchase and the attempts to make it.
 
-    ``told`` has the outcome of each attempt by its number. A hop answers
-    its caller only what holds for all that it sent.
+    ``born_at`` is in seconds on the fleet's clock. ``outcome_by_attempt``
+    holds the outcomes received, by attempt number. A hop reports *not run*
+    to its caller only if that holds for everything it sent.
     """
 
     def __init__(self, *, key: str, kind: CallerKind, born_at: float) -> None:
-        """Begin with nothing sent."""
         self.key = key
         self.kind = kind
         self.born_at = born_at
         self.last_attempt = 0
-        self.told: dict[int, Outcome] = {}
+        self.outcome_by_attempt: dict[int, Outcome] = {}
         self._sends = 0
         self._stamp: HomeStamp | None = None
-        self._hop_told: dict[int, Outcome | None] = {}
+        self._hop_outcome_by_send: dict[int, Outcome | None] = {}
 
     def attempt(
         self, fleet: Fleet, homes: Sequence[HomeStamp], pick: Picker
     ) -> None:
-        """Send the next attempt, as this kind of caller would."""
-        was_not_run = self.told.get(self.last_attempt) is Outcome.NOT_RUN
+        """Send the next attempt, identified as this kind of caller does."""
+        was_not_run = (
+            self.outcome_by_attempt.get(self.last_attempt) is Outcome.NOT_RUN
+        )
         is_hop = self.kind is CallerKind.HOP
         if was_not_run and self.last_attempt == 1 and not is_hop:
-            # What is proved not run leaves the next send a first one.
-            self.told.pop(1)
+            # An attempt that is proved not run does not count: the next one
+            # is a first attempt again.
+            self.outcome_by_attempt.pop(1)
             self.last_attempt = 0
         is_first = self.last_attempt == 0
         self.last_attempt += 1
@@ -75,52 +78,58 @@
     def hop(
         self, fleet: Fleet, homes: Sequence[HomeStamp], pick: Picker
     ) -> None:
-        """Let the stamping service send the first attempt, or send again.
+        """Send or resend the first attempt from the stamping service.
 
-        After *not run* it is a first attempt again, with a new home; in
-        doubt it goes to the same home without a number.
+        After *not run* it is a first attempt again, with a new home. If the
+        outcome is unknown, it goes to the same home without a number.
         """
-        if self.kind is not CallerKind.HOP or 1 in self.told:
+        if self.kind is not CallerKind.HOP or 1 in self.outcome_by_attempt:
             return
         is_new = all(
-            each is Outcome.NOT_RUN for each in self._hop_told.values()
+            each is Outcome.NOT_RUN
+            for each in self._hop_outcome_by_send.values()
         )
         if is_new:
             self._stamp = pick(homes)
-        self._hop_told[self._sends + 1] = None
+        self._hop_outcome_by_send[self._sends + 1] = None
         attempt = next_attempt_number(1, is_proved_not_run=is_new)
         self._send(fleet, attempt, self._stamp, self._stamp or pick(homes))
 
     def answer_from_hop(self) -> None:
-        """Let the stamping service answer the caller's first attempt."""
-        if not self._hop_told or 1 in self.told:
+        """Answer the caller's first attempt from the stamping service."""
+        if not self._hop_outcome_by_send or 1 in self.outcome_by_attempt:
             return
         is_not_run = all(
-            each is Outcome.NOT_RUN for each in self._hop_told.values()
+            each is Outcome.NOT_RUN
+            for each in self._hop_outcome_by_send.values()
+        )
+        self.outcome_by_attempt[1] = (
+            Outcome.NOT_RUN if is_not_run else Outcome.UNKNOWN
         )
-        self.told[1] = Outcome.NOT_RUN if is_not_run else Outcome.UNKNOWN
 
     def record_answer(self, call_id: str, outcome: Outcome) -> None:
-        """Take the answer to one attempt."""
         _, _, attempt, send = call_id.split('/')
         if self.kind is CallerKind.HOP and int(attempt) == 1:
-            self._hop_told[int(send)] = outcome
+            self._hop_outcome_by_send[int(send)] = outcome
             return
-        self.told[int(attempt)] = outcome
+        self.outcome_by_attempt[int(attempt)] = outcome
 
     def undo_attempt(self, call_id: str) -> None:
-        """Take back the last attempt, for which no connection was made."""
+        """Uncount the last attempt, for which no connection was made."""
         attempt = int(call_id.split('/')[2])
-        is_last = attempt == self.last_attempt and attempt not in self.told
+        is_last = (
+            attempt == self.last_attempt
+            and attempt not in self.outcome_by_attempt
+        )
         if is_last and self.kind is not CallerKind.HOP:
             self.last_attempt -= 1
 
     def breaks_at_most_once(self, executions: int) -> bool:
-        """Return whether the call ran twice, or ran though *not run*."""
+        """Return whether the call ran twice, or ran after *not run*."""
         if self.kind is CallerKind.UNNUMBERED:
-            was_refused = Outcome.NOT_RUN in self.told.values()
+            was_refused = Outcome.NOT_RUN in self.outcome_by_attempt.values()
         else:
-            last = self.told.get(self.last_attempt)
+            last = self.outcome_by_attempt.get(self.last_attempt)
             was_refused = last is Outcome.NOT_RUN
         allowed = 0 if was_refused else 1
         return executions > allowed
--- a/bench/run_once/_fleet.py
+++ b/bench/run_once/_fleet.py
@@ -1,4 +1,4 @@
-"""The nodes of one service, and everything that happens to them."""
+"""The nodes of one service, their lifecycle and their faults."""
 
 from bench.run_once._machine import Machine, NodeFactory, make_node
 from bench.run_once._messages import AnswerMessage
@@ -19,95 +19,100 @@
     WaiterCancelled,
 )
 
-_OLD_SECONDS = 1000
-_HEIRS = 2
+#: Age given to nodes that start out settled.
+_SETTLED_AGE_SECONDS = 1000
+_MAX_HAND_OVER_PEERS = 2
 _ANSWER = StoredAnswer(status=200, headers=(), body=b'done')
 
 
 class Fleet(Network):
-    """A network with a published list, and its faults."""
+    """A network whose nodes start, stop and fail, with a published list.
+
+    ``published`` is the platform's node list; nodes read it separately.
+    """
 
     def __init__(self, factory: NodeFactory = make_node) -> None:
-        """Begin empty."""
         super().__init__()
         self.published: list[HomeStamp] = []
         self._factory = factory
         self._started = 0
 
     def start(self, name: str, *, is_old: bool = False) -> Machine:
-        """Put a fresh node at a name, in place of any earlier one."""
+        """Start a new incarnation of a node, replacing any earlier one."""
         self._started += 1
         home = HomeStamp(node=name, incarnation=f'{name}{self._started}')
-        born_at = self.now - _OLD_SECONDS if is_old else self.now
+        born_at = self.now - _SETTLED_AGE_SECONDS if is_old else self.now
         machine = Machine(home, self._factory(home, born_at))
         self.by_name[name] = machine
         machine.listed = list(self.published)
-        others = [each for each in self.published if each.node != name]
-        machine.read([*others, home], self.now)
+        peers = [each for each in self.published if each.node != name]
+        machine.read([*peers, home], self.now)
         return machine
 
     def publish(self) -> None:
-        """Bring the published list up to date."""
+        """Update the published list to the nodes that exist now."""
         self.published = [each.home for each in self.by_name.values()]
 
     def settle(self, machine: Machine) -> None:
-        """Let a node make itself known; it settles when all confirm."""
+        """Announce a node to its peers; it settles once all are reached."""
         reached = [self.reach(machine, home) for home in machine.listed]
-        met = [
+        responding = [
             peer
             for peer in reached
             if peer is not None and peer.frozen_at is None
         ]
-        for peer in met:
+        for peer in responding:
             if machine.home not in peer.listed:
                 peer.listed.append(machine.home)
-        if len(met) == len(machine.listed):
+        if len(responding) == len(machine.listed):
             self.handle_event(machine, Settled())
 
     def kill(self, machine: Machine) -> None:
-        """Lose a VM with everything on it."""
+        """Remove a VM together with its state."""
         self.by_name.pop(machine.home.node)
 
     def freeze(self, machine: Machine) -> None:
-        """Suspend a node; what reaches it waits in its buffers."""
+        """Suspend a node; messages to it are buffered."""
         machine.frozen_at = self.now
 
     def thaw(self, machine: Machine) -> None:
-        """Wake a node; it reads what had waited."""
+        """Resume a node; it then receives the buffered messages."""
         if machine.frozen_at is None:
             return
-        gap = self.now - machine.frozen_at
+        suspended_seconds = self.now - machine.frozen_at
         machine.frozen_at = None
-        held = machine.held
-        machine.held = []
-        self.handle_event(machine, Resumed(gap_seconds=gap))
-        for message in held:
+        buffered = machine.buffered
+        machine.buffered = []
+        self.handle_event(machine, Resumed(gap_seconds=suspended_seconds))
+        for message in buffered:
             self.receive(machine, message)
 
     def drain(self, machine: Machine) -> None:
-        """Stop a node as planned and hand its calls to two peers."""
+        """Stop a node as planned and hand its entries over to two peers."""
         for call_id in tuple(machine.running):
             self.finish(machine, call_id, Outcome.ANSWERED)
         self.handle_event(machine, Leaving())
-        handed = machine.node.handle(Drained(), self.now)
+        actions = machine.node.handle(Drained(), self.now)
         reached = [self.reach(machine, home) for home in machine.listed]
-        heirs = [
+        receivers = [
             peer
             for peer in reached
             if peer is not None and peer.frozen_at is None
         ]
-        for action in handed:
+        for action in actions:
             if isinstance(action, HandOver):
-                self._hand_over(machine, action, heirs[:_HEIRS])
+                self._hand_over(
+                    machine, action, receivers[:_MAX_HAND_OVER_PEERS]
+                )
         self.kill(machine)
 
     def admit(self, machine: Machine, call_id: str) -> None:
-        """Let a queued call through to the target."""
+        """Dispatch a queued call to the target."""
         machine.queue.remove(call_id)
         self.handle_event(machine, DispatchDue(call_id=call_id))
 
     def refuse(self, machine: Machine, call_id: str) -> None:
-        """Refuse a queued call for overload."""
+        """Refuse a queued call because of overload."""
         machine.queue.remove(call_id)
         refused = Refused(
             call_id=call_id,
@@ -117,7 +122,7 @@
         self.handle_event(machine, refused)
 
     def cancel(self, machine: Machine, call_id: str) -> None:
-        """Let the caller of a queued call go away."""
+        """Cancel a queued call whose caller has disconnected."""
         machine.queue.remove(call_id)
         self.handle_event(machine, WaiterCancelled(call_id=call_id))
 
@@ -127,7 +132,7 @@
         call_id: str,
         outcome: Outcome,
     ) -> None:
-        """End a running call."""
+        """End a running call with an outcome and answer its caller."""
         key = machine.running.pop(call_id)
         kept = _ANSWER if outcome is Outcome.ANSWERED else None
         ending = Ending(outcome=outcome, answer=kept)
@@ -137,9 +142,9 @@
     def _hand_over(
         self,
         leaver: Machine,
-        handed: HandOver,
-        heirs: list[Machine],
+        hand_over: HandOver,
+        receivers: list[Machine],
     ) -> None:
-        event = HandOverReceived(leaver=leaver.home, entries=handed.entries)
-        for heir in heirs:
-            self.handle_event(heir, event)
+        event = HandOverReceived(leaver=leaver.home, entries=hand_over.entries)
+        for receiver in receivers:
+            self.handle_event(receiver, event)
--- a/bench/run_once/_machine.py
+++ b/bench/run_once/_machine.py
@@ -1,4 +1,4 @@
-"""One VM of the fleet: its node and its target."""
+"""A VM of the fleet with its node and its target."""
 
 from collections.abc import Callable
 
@@ -6,14 +6,14 @@
 from lovageshunt.calls import HomeStamp
 from lovageshunt.idempotency import DepartedNode, RunOnce, RunOnceSettings
 
-#: A node remembers who departed for as long as a request may be resent.
-_MEMORY_SECONDS = 930
+#: Departed nodes are kept for as long as a request may be resent.
+_DEPARTED_RETENTION_SECONDS = 930
 
 NodeFactory = Callable[[HomeStamp, float], RunOnce]
 
 
 def make_node(home: HomeStamp, started_at: float) -> RunOnce:
-    """Return a node with a table small enough to fill."""
+    """Return a node whose table holds two entries, so that it fills up."""
     return RunOnce(
         node=home.node,
         incarnation=home.incarnation,
@@ -24,11 +24,14 @@
 
 
 class Machine:
-    """One VM: its node, what the node lists, and its target.
+    """A VM: its node, the node's peer list, and the calls at its target.
 
-    ``queue`` holds the calls that wait for admission and ``running`` the
-    keys of those at the target, by call id. ``held`` is what arrived while
-    the node was frozen.
+    ``listed`` holds the peers and ``gone`` the departed nodes; in ``gone``,
+    ``seconds_ago`` is the negated time of departure. ``queue`` holds the ids
+    of calls that wait for admission, ``running`` the keys of the calls at
+    the target by call id, ``buffered`` the messages that arrived while the
+    node was suspended. ``frozen_at`` is in seconds. Only VMs with the same
+    ``partition`` reach each other.
     """
 
     __slots__ = (
@@ -38,28 +41,27 @@
         'gone',
         'queue',
         'running',
-        'held',
+        'buffered',
         'frozen_at',
         'partition',
     )
 
     def __init__(self, home: HomeStamp, node: RunOnce) -> None:
-        """Begin with nothing listed and nothing running."""
         self.home = home
         self.node = node
         self.listed: list[HomeStamp] = []
         self.gone: list[DepartedNode] = []
         self.queue: list[str] = []
         self.running: dict[str, str] = {}
-        self.held: list[Message] = []
+        self.buffered: list[Message] = []
         self.frozen_at: float | None = None
         self.partition = 0
 
     def read(self, published: list[HomeStamp], now: float) -> None:
-        """Read the published list; who is missing has departed.
+        """Apply the published list; peers missing from it have departed.
 
-        A name that is listed with another incarnation proves the end of
-        the earlier one.
+        If a name is listed with another incarnation, the earlier one is
+        proved dead.
         """
         names = {home.node for home in published}
         self.gone.extend(
@@ -74,7 +76,7 @@
         self.listed = [home for home in published if home != self.home]
 
     def departed(self, now: float) -> tuple[DepartedNode, ...]:
-        """Return the nodes that this one no longer lists."""
+        """Return recently departed nodes, with seconds since departure."""
         return tuple(
             DepartedNode(
                 home=each.home,
@@ -83,5 +85,5 @@
             )
             for each in self.gone
             if each.home not in self.listed
-            and now + each.seconds_ago < _MEMORY_SECONDS
+            and now + each.seconds_ago < _DEPARTED_RETENTION_SECONDS
         )
--- a/bench/run_once/_messages.py
+++ b/bench/run_once/_messages.py
@@ -1,4 +1,4 @@
-"""What is on its way in the fleet."""
+"""Messages in transit between callers and nodes."""
 
 from lovageshunt._record import Record
 from lovageshunt.calls import HomeStamp, Outcome
@@ -6,7 +6,10 @@
 
 
 class RequestMessage(Record):
-    """An attempt on its way to the node of a name."""
+    """An attempt, addressed to a node by name.
+
+    ``sent_at`` is in seconds on the fleet's clock.
+    """
 
     __slots__ = (
         'call_id',
@@ -31,7 +34,6 @@
         sent_at: float,
         is_redirected: bool = False,
     ) -> None:
-        """Take the attempt, where it goes and when it left."""
         self.call_id = call_id
         self.key = key
         self.attempt = attempt
@@ -43,18 +45,17 @@
 
 
 class InquiryMessage(Record):
-    """An inquiry on its way to a peer."""
+    """An inquiry about a call, addressed to a peer."""
 
     __slots__ = ('asker', 'question')
 
     def __init__(self, *, asker: HomeStamp, question: Inquire) -> None:
-        """Take the asker and its question."""
         self.asker = asker
         self.question = question
 
 
 class ReplyMessage(Record):
-    """The answer to an inquiry, ``None`` when the peer was not reached."""
+    """The reply to an inquiry; ``answer`` is ``None`` if it failed."""
 
     __slots__ = ('asker', 'question', 'answer')
 
@@ -65,19 +66,17 @@
         question: Inquire,
         answer: InquiryAnswer | None,
     ) -> None:
-        """Take the question and what came back."""
         self.asker = asker
         self.question = question
         self.answer = answer
 
 
 class AnswerMessage(Record):
-    """What a node tells the caller of an attempt."""
+    """The outcome that a node returns to the caller of an attempt."""
 
     __slots__ = ('call_id', 'outcome')
 
     def __init__(self, *, call_id: str, outcome: Outcome) -> None:
-        """Take the attempt and its outcome."""
         self.call_id = call_id
         self.outcome = outcome
 
--- a/bench/run_once/_network.py
+++ b/bench/run_once/_network.py
@@ -1,4 +1,4 @@
-"""The messages between callers and nodes, and what nodes ask for."""
+"""Delivery of messages, and execution of the actions of nodes."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -15,21 +15,20 @@
 from lovageshunt import idempotency as run_once
 from lovageshunt.calls import HomeStamp, Outcome
 
-_DEADLINE_SECONDS = 5
+_TIMEOUT_SECONDS = 5
 _TRANSIT_SECONDS = 5
 _MS_PER_SECOND = 1000
 
 
 class Network:
-    """Machines by name and the messages on their way.
+    """Machines by name and the messages in transit.
 
-    It decides nothing about order or time: whoever drives it chooses which
-    message is delivered next and when time moves. ``executions`` counts by
-    key what the targets ran.
+    The driver decides which message is delivered next and when ``now``, in
+    seconds, advances. ``executions`` counts the runs at the targets by key,
+    and ``question`` is the inquiry received last.
     """
 
     def __init__(self) -> None:
-        """Begin empty."""
         self.now = float(1000)
         self.by_name: dict[str, Machine] = {}
         self.messages: list[Message] = []
@@ -39,25 +38,29 @@
         self.on_unsent: Callable[[str], None] = _ignore_unsent
 
     def send(self, message: Message) -> None:
-        """Put a message on its way."""
+        """Queue a message for delivery."""
         self.messages.append(message)
 
     def handle_event(self, machine: Machine, event: run_once.Event) -> None:
-        """Give a node an event and do what it asks."""
+        """Pass an event to a node and perform the resulting actions."""
         for action in machine.node.handle(event, self.now):
             _perform(action, machine, self)
 
     def receive(self, machine: Machine, message: Message) -> None:
-        """Let a node read a message, or hold it while it is frozen."""
+        """Pass a message to a node, or buffer it while the node is frozen."""
         if machine.frozen_at is not None:
-            machine.held.append(message)
+            machine.buffered.append(message)
             return
         if isinstance(message, InquiryMessage):
             self.question = message.question
         self.handle_event(machine, _event_of(message, machine, self.now))
 
     def reach(self, machine: Machine, home: HomeStamp) -> Machine | None:
-        """Return a peer that is there, with no cut between."""
+        """Return the peer's VM, or ``None`` if it cannot be reached.
+
+        It is unreachable if it is gone, is another incarnation, or is in
+        another partition.
+        """
         peer = self.by_name.get(home.node)
         if (
             peer is None
@@ -69,14 +72,14 @@
 
     @singledispatchmethod
     def deliver(self, message: Message) -> None:
-        """Let a message arrive."""
+        """Deliver a message to its recipient, if there is one."""
         raise NotImplementedError(type(message))
 
     @deliver.register
     def _deliver_request(self, message: RequestMessage) -> None:
         machine = self.by_name.get(message.to)
         if machine is None:
-            self._miss(message)
+            self._report_unsent(message)
             return
         if self.now - message.sent_at <= _TRANSIT_SECONDS:
             self.receive(machine, message)
@@ -107,8 +110,8 @@
     def _deliver_answer(self, message: AnswerMessage) -> None:
         self.on_answer(message.call_id, message.outcome)
 
-    def _miss(self, message: RequestMessage) -> None:
-        """Tell the sender that there was nobody to connect to."""
+    def _report_unsent(self, message: RequestMessage) -> None:
+        """Report to the sender that no connection was made."""
         if not message.is_redirected:
             self.on_unsent(message.call_id)
             return
@@ -120,17 +123,17 @@
 
 
 def age_ms_of(call_id: str, now: float) -> int:
-    """Return the age of a request, from when its call id says it began."""
+    """Return a request's age in ms, from the start time in its call id."""
     born_at = float(call_id.split('/')[1])
     return round((now - born_at) * _MS_PER_SECOND)
 
 
 def _ignore(call_id: str, outcome: Outcome) -> None:
-    """Drop an answer that nobody waits for."""
+    """Discard an answer."""
 
 
 def _ignore_unsent(call_id: str) -> None:
-    """Drop the news that an attempt did not leave."""
+    """Discard the report of an attempt that was not sent."""
 
 
 @singledispatch
@@ -143,7 +146,7 @@
 
 
 @_event_of.register
-def _requested(
+def _attempt_received(
     message: RequestMessage,
     machine: Machine,
     now: float,
@@ -152,7 +155,7 @@
         call_id=message.call_id,
         key=message.key,
         attempt=message.attempt,
-        deadline=now + _DEADLINE_SECONDS,
+        deadline=now + _TIMEOUT_SECONDS,
         stamp=message.stamp,
         age_ms=message.age_ms,
         peers=tuple(machine.listed),
@@ -161,7 +164,7 @@
 
 
 @_event_of.register
-def _inquired(
+def _inquiry_received(
     message: InquiryMessage,
     machine: Machine,
     now: float,
@@ -178,7 +181,7 @@
 
 
 @_event_of.register
-def _replied(
+def _inquiry_ended(
     message: ReplyMessage,
     machine: Machine,
     now: float,
@@ -204,7 +207,7 @@
     machine: Machine,
     network: Network,
 ) -> None:
-    """Do nothing: the call waits."""
+    """Ignore other actions: the call stays pending."""
 
 
 @_perform.register
@@ -278,7 +281,8 @@
     machine: Machine,
     network: Network,
 ) -> None:
-    # The asker knows only which address it asked.
+    # The reply repeats the question: the asker knows only which address it
+    # sent the inquiry to.
     question = network.question
     if question is None:
         return
--- a/bench/run_once/_strategies.py
+++ b/bench/run_once/_strategies.py
@@ -1,4 +1,4 @@
-"""The ways of running a call at most once that are compared."""
+"""The compared strategies for at-most-once execution."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -20,15 +20,15 @@
 _LEASE_SECONDS: Final = 5.0
 _MS_PER_SECOND: Final = 1000
 
-#: The nodes listed, and since when.
-_Listing = tuple[float, frozenset[str]]
+#: Since when, in seconds, and the names of the listed nodes.
+_Membership = tuple[float, frozenset[str]]
 
 
 class Unprotected(RunOnce):
-    """Every node runs what it has not seen itself."""
+    """Each node runs any call that it has not received before."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Run any attempt as if it were the first and only one."""
+        """Handle any attempt as a first attempt without a stamp."""
         if isinstance(event, AttemptReceived):
             event.peers = ()
             event.gone = ()
@@ -38,10 +38,10 @@
 
 
 class StampOnly(RunOnce):
-    """A stamped call runs at its home; an unstamped resend is in doubt."""
+    """Runs a stamped call at its home; an unstamped retry is in doubt."""
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Answer what would need an inquiry at once."""
+        """Answer *unknown* at once where an inquiry would be needed."""
         if not isinstance(event, AttemptReceived) or self.knows(event.key):
             return super().handle(event, now)
         if event.attempt == 1 or event.stamp is not None:
@@ -54,20 +54,20 @@
         return [unknown]
 
     def knows(self, key: str) -> bool:
-        """Return whether an attempt of the call arrived here before."""
+        """Return whether an attempt of the call was received before."""
         return key in self._state.entry_by_key
 
 
 class FixedHome(RunOnce):
-    """A hash over the listed nodes names the home of each key.
+    """Assigns each key a home by rendezvous hashing of the listed nodes.
 
-    A node that becomes the home of a key waits until the earlier home has
-    surely lost its right, and refuses until then. The wait must bound the
-    list's lag, which the platform does not promise: with ``lag_seconds``
-    too small two nodes run the call.
+    A node that becomes the home of a key refuses its calls until the
+    earlier home's lease has certainly expired. The wait must cover the
+    list's lag, for which the platform guarantees no bound: if
+    ``max_list_lag_seconds`` is too small, two nodes run the call.
     """
 
-    lag_seconds = 5.0
+    max_list_lag_seconds = 5.0
 
     def __init__(
         self,
@@ -78,7 +78,6 @@
         started_at: float,
         settings: RunOnceSettings,
     ) -> None:
-        """Begin with no list seen."""
         super().__init__(
             node=node,
             incarnation=incarnation,
@@ -86,43 +85,47 @@
             started_at=started_at,
             settings=settings,
         )
-        self._lists: list[_Listing] = []
+        self._memberships: list[_Membership] = []
         self._started_at = started_at
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Redirect to the home, or run there once its right is sure."""
+        """Redirect to the home, or run there once no other node may."""
         if not isinstance(event, AttemptReceived):
             return super().handle(event, now)
         peers = event.peers or ()
         home = _home_of(event.key, (*peers, self.home))
         if home != self.home:
-            moved = Redirect(
+            redirect = Redirect(
                 call_id=event.call_id,
                 home=home,
                 stamp=None,
                 attempt=event.attempt,
             )
-            return [moved]
-        self._see(peers, now)
+            return [redirect]
+        self._record_members(peers, now)
         if event.key not in self._state.entry_by_key:
-            refusal = self._refusal(event, now)
+            refusal = self._refusal_while_settling(event, now)
             if refusal is not None:
                 return [refusal]
         event.stamp = self.home
         return super().handle(event, now)
 
-    def _see(self, peers: Iterable[HomeStamp], now: float) -> None:
+    def _record_members(self, peers: Iterable[HomeStamp], now: float) -> None:
         names = frozenset(peer.node for peer in peers) | {self.home.node}
-        since = now if self._lists else self._started_at
-        if not self._lists or self._lists[-1][1] != names:
-            self._lists.append((since, names))
-
-    def _refusal(self, event: AttemptReceived, now: float) -> Action | None:
-        taken_at = self._taken_at(event.key)
-        wait_seconds = _LEASE_SECONDS + self.lag_seconds
+        since = now if self._memberships else self._started_at
+        if not self._memberships or self._memberships[-1][1] != names:
+            self._memberships.append((since, names))
+
+    def _refusal_while_settling(
+        self, event: AttemptReceived, now: float
+    ) -> Action | None:
+        owned_since = self._owned_since(event.key)
+        wait_seconds = _LEASE_SECONDS + self.max_list_lag_seconds
         born_at = now - (event.age_ms or 0) / _MS_PER_SECOND
         is_first = event.attempt == 1
-        if taken_at + wait_seconds <= now and (is_first or taken_at < born_at):
+        if owned_since + wait_seconds <= now and (
+            is_first or owned_since < born_at
+        ):
             return None
         kind = AnswerNotRun if is_first else AnswerUnknown
         return kind(
@@ -131,15 +134,15 @@
             retry_after_ms=_MS_PER_SECOND,
         )
 
-    def _taken_at(self, key: str) -> float:
-        """Return since when this node is the home of a key."""
-        taken_at: float | None = None
-        for since, names in self._lists:
+    def _owned_since(self, key: str) -> float:
+        """Return since when, in seconds, this node is the home of a key."""
+        owned_since: float | None = None
+        for since, names in self._memberships:
             if _owner_of(key, names) != self.home.node:
-                taken_at = None
-            elif taken_at is None:
-                taken_at = since
-        return self._started_at if taken_at is None else taken_at
+                owned_since = None
+            elif owned_since is None:
+                owned_since = since
+        return self._started_at if owned_since is None else owned_since
 
 
 def _home_of(key: str, homes: Iterable[HomeStamp]) -> HomeStamp:
--- a/tests/retries/test_bound.py
+++ b/tests/retries/test_bound.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from bench.retry_shares import (
-    RequestSimulation,
     FailureProbabilities,
+    RequestSimulation,
     random_graph,
 )
 from lovageshunt.retries import AllowancePool
