--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,7 +1,7 @@
-"""What membership costs, and how fast a departure is known.
+"""Measure the cost of membership and how fast departures propagate.
 
-Run ``python -m bench.membership``, with fleet sizes to measure only those, or
-with ``costs`` to measure only what an event costs.
+Run ``python -m bench.membership``. Fleet sizes as arguments restrict the run
+to these sizes; ``costs`` restricts it to the cost of each event.
 """
 
 import gc
@@ -38,13 +38,13 @@
 _SETTLE_SECONDS: Final = 180
 _IDLE_SECONDS: Final = 30
 _DEPARTURES: Final = 6
-_PROMISED_SECONDS: Final = 3
+_PROPAGATION_LIMIT_SECONDS: Final = 3
 _REFUSAL_STEP_SECONDS: Final = 0.01
 _OUTAGE_SECONDS: Final = 90
-_ROUNDS: Final = 200
+_EVENT_COUNT: Final = 200
 _US_PER_SECOND: Final = 1_000_000
 _BYTES_PER_KB: Final = 1024
-_SPREAD_HEADINGS: Final = (
+_FLEET_HEADINGS: Final = (
     'nodes',
     'B/s a node when quiet, mean / max',
     'B/s a node after a failure domain restarts, mean / max',
@@ -58,11 +58,16 @@
 )
 
 
-class Spread:
-    """What was measured of one fleet's size."""
+class FleetMeasurements:
+    """Measurements of a fleet of one size.
+
+    ``quiet`` and ``restarting`` hold bytes per second for each node,
+    ``announced`` and ``listed`` the departures as ``_departure`` returns
+    them, ``refusals`` seconds, and the ``_reads`` fields reads per second.
+    """
 
     def __init__(self, size: int) -> None:
-        """Run the fleet through quiet, departures, an outage and restarts."""
+        """Run idle, departure, restart and platform outage phases in turn."""
         self.size = size
         self.fleet = Fleet(size)
         self.fleet.run(_SETTLE_SECONDS)
@@ -80,13 +85,13 @@
         self.outage_reads = self._reads(_OUTAGE_SECONDS, worst=True)
 
     def row(self) -> str:
-        """Return the size's row of the table."""
+        """Return the table row for this size."""
         cells = (
             f'{self.size}',
             f'{mean(self.quiet):.0f} / {max(self.quiet):.0f}',
             f'{mean(self.restarting):.0f} / {max(self.restarting):.0f}',
-            _shown_departures(self.announced),
-            _shown_departures(self.listed),
+            _format_departures(self.announced),
+            _format_departures(self.listed),
             f'{max(self.refusals):.2f}',
             f'{self.quiet_reads:.2f}',
             f'{self.first_reads:.0f}',
@@ -119,10 +124,10 @@
         ]
 
     def _departure(self, *, announces: bool) -> tuple[float, float]:
-        """Let a VM leave that is called by others.
+        """Make a VM leave that has callers.
 
-        Return the seconds until no caller offers it any more, and the share
-        of the callers that still did when the promised time was over.
+        Return the seconds until no caller lists it any more, and the share
+        of callers that still listed it after ``_PROPAGATION_LIMIT_SECONDS``.
         """
         fleet = self.fleet
         name = fleet.rng.choice(list(fleet.by_name))
@@ -135,14 +140,14 @@
         else:
             fleet.list_as(name, VmState.LEAVING)
             self.refusals.append(self._refusal_after(name))
-        fleet.run(began + _PROMISED_SECONDS - fleet.now)
-        late = fleet.unaware_of(name) / callers
+        fleet.run(began + _PROPAGATION_LIMIT_SECONDS - fleet.now)
+        late_share = fleet.unaware_of(name) / callers
         while fleet.unaware_of(name):
             fleet.run(TICK_SECONDS)
-        return fleet.now - began, late
+        return fleet.now - began, late_share
 
     def _refusal_after(self, name: str) -> float:
-        """Return how long a VM that is listed as leaving takes calls."""
+        """Return for how many seconds a VM listed as leaving accepts calls."""
         began = self.fleet.now
         view = self.fleet.by_name[name].view
         while not view.own.is_leaving:
@@ -156,10 +161,13 @@
 
 
 class CostTable:
-    """The cost of each event in one view of the largest fleet."""
+    """The cost of each event for one node of the largest fleet.
+
+    ``published`` is the JSON of the VM list; ``kept_bytes`` is the memory
+    that the node holds after it has read the list.
+    """
 
     def __init__(self) -> None:
-        """Let a node read the whole list."""
         fleet = Fleet(_SIZES[-1])
         fields = [vm.as_dict() for vm in fleet.listed.values()]
         self.published = orjson.dumps(fields)
@@ -167,27 +175,29 @@
         self.kept_bytes = _memory_of(self._read)
 
     def rows(self) -> list[str]:
-        """Return the rows of the table."""
+        """Return the table rows and a line on the memory used."""
         called = self.node.view.members_of(self.node.needed[0])
         rows = [
-            self._row('tick', [MembershipTicked() for _ in range(_ROUNDS)]),
-            self._row('announcement', self._words()),
+            self._row(
+                'tick', [MembershipTicked() for _ in range(_EVENT_COUNT)]
+            ),
+            self._row('announcement', self._announcements()),
             self._row('answer', [PeerAnswered(one.name) for one in called]),
             self._row('silence', [PeerSilent(one.name) for one in called]),
             self._row('list of 2,600 VMs', [self.reading]),
             self._row('digest', self._digests()),
         ]
         published = f'{len(self.published) / _BYTES_PER_KB:.0f} KB'
-        kept = f'{self.kept_bytes / _BYTES_PER_KB:.0f} KB'
+        kept_kb = f'{self.kept_bytes / _BYTES_PER_KB:.0f} KB'
         return [
             *rows,
             '',
             f'A list of 2,600 VMs has {published}; the view and the last list '
-            f'read take {kept}.',
+            f'read take {kept_kb}.',
         ]
 
     def _read(self) -> None:
-        """Decode the list as it is published, and take it in."""
+        """Decode the published list and pass it to the node."""
         self.vms = [
             ListedVm(**fields) for fields in orjson.loads(self.published)
         ]
@@ -195,7 +205,7 @@
         self.node.handle(self.reading, 0)
 
     def _digests(self) -> Sequence[Record]:
-        """Return digests of a peer that holds something else."""
+        """Return digests of a peer whose state differs from the node's."""
         digest = MembershipDigest(
             sender=self.vms[1].name,
             address=self.vms[1].admin_address,
@@ -203,13 +213,13 @@
                 service: ServiceDigest(1, 1) for service in self.node.needed
             },
         )
-        return [DigestReceived(digest) for _ in range(_ROUNDS)]
+        return [DigestReceived(digest) for _ in range(_EVENT_COUNT)]
 
-    def _words(self) -> Sequence[Record]:
+    def _announcements(self) -> Sequence[Record]:
         rng = Random(1)
         return [
             PeerAnnounced(_restarted(rng.choice(self.vms), index))
-            for index in range(_ROUNDS)
+            for index in range(_EVENT_COUNT)
         ]
 
     def _row(self, label: str, events: Sequence[Record]) -> str:
@@ -242,10 +252,10 @@
     )
 
 
-def _shown_departures(departures: list[tuple[float, float]]) -> str:
+def _format_departures(departures: list[tuple[float, float]]) -> str:
     times = [seconds for seconds, _ in departures]
-    late = max(share for _, share in departures)
-    return f'{median(times):.1f} / {max(times):.1f} / {late:.1%}'
+    late_share = max(share for _, share in departures)
+    return f'{median(times):.1f} / {max(times):.1f} / {late_share:.1%}'
 
 
 def _table_row(*cells: str) -> str:
@@ -259,7 +269,7 @@
 
 
 def main() -> None:
-    """Print the tables; sizes may be given on the command line."""
+    """Print the tables for the sizes on the command line, or for all."""
     arguments = sys.argv[1:] or _SIZES
     _print(('| event | µs |', '| --- | ---: |', *CostTable().rows()))
     if _COSTS_ONLY in arguments:
@@ -267,12 +277,12 @@
     _print(
         (
             '',
-            _table_row(*_SPREAD_HEADINGS),
-            _table_row(*('---:' for _ in _SPREAD_HEADINGS)),
+            _table_row(*_FLEET_HEADINGS),
+            _table_row(*('---:' for _ in _FLEET_HEADINGS)),
         ),
     )
     for size in arguments:
-        _print((Spread(int(size)).row(),))
+        _print((FleetMeasurements(int(size)).row(),))
 
 
 if __name__ == '__main__':
--- a/bench/membership_fleet.py
+++ b/bench/membership_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet's views, driven on a fake clock, for the measurements.
+"""Simulated fleet on a fake clock for the membership benchmark.
 
-The driver carries messages with the network's delays and nothing else: the
-decisions are the package's own. Its seed is fixed.
+The driver only delivers messages, with network delays; all decisions are
+made by ``lovageshunt.membership``. The seed is fixed.
 """
 
 import heapq
@@ -36,25 +36,29 @@
 )
 
 FAILURE_DOMAINS: Final = ('r1-a', 'r1-b', 'r2-a', 'r2-b')
-#: How often a node's timer turns.
+#: Interval of a node's timer.
 TICK_SECONDS: Final = 0.25
 _SERVICES: Final = 84
 _CALLED_SERVICES: Final = 5
 _FULL_SIZE: Final = 2600
-_NEAR_SECONDS: Final = 0.0015
-_FAR_SECONDS: Final = 0.03
-_PLATFORM_SECONDS: Final = 0.005
-_WATCH_SECONDS: Final = 30
+_SAME_REGION_DELAY_SECONDS: Final = 0.0015
+_CROSS_REGION_DELAY_SECONDS: Final = 0.03
+_PLATFORM_DELAY_SECONDS: Final = 0.005
+_WATCH_TIMEOUT_SECONDS: Final = 30
 _TIMEOUT_SECONDS: Final = 1
-#: What a message takes besides its body: request line, headers, framing.
+#: Size of a message without its body: request line, headers, framing.
 _ENVELOPE_BYTES: Final = 250
 
 Step = Callable[[], None]
-_Entry = tuple[float, int, Step]
+_QueueEntry = tuple[float, int, Step]
 
 
 class Node:
-    """One node of the fleet: what it decides and what was counted of it."""
+    """A node of the fleet with its membership view and counters.
+
+    ``needed`` names the services that it calls; ``sent_bytes`` includes
+    envelopes; ``read_revision`` is that of the VM list read last.
+    """
 
     __slots__ = (
         'own',
@@ -73,7 +77,6 @@
         rng: Random,
         now: float,
     ) -> None:
-        """Start the node."""
         self.own = own
         self.needed = needed
         self.view = MembershipView(
@@ -101,32 +104,34 @@
 
 
 class Steps:
-    """What is to happen, in the order of time."""
+    """A queue of steps ordered by due time, in seconds."""
 
     def __init__(self) -> None:
-        """Have nothing to do."""
-        self._heap: list[_Entry] = []
+        self._heap: list[_QueueEntry] = []
         self._order = count()
 
     def due_at(self) -> float:
-        """Return when the next step is due; never, if there is none."""
+        """Return when the next step is due, or infinity if there is none."""
         return self._heap[0][0] if self._heap else inf
 
     def put(self, due_at: float, step: Step) -> None:
-        """Add a step."""
         heapq.heappush(self._heap, (due_at, next(self._order), step))
 
     def take(self) -> tuple[float, Step]:
-        """Remove the next step, and return it with its time."""
+        """Remove the next step and return it with its due time."""
         due_at, _, step = heapq.heappop(self._heap)
         return due_at, step
 
 
 class Fleet:
-    """Nodes that exchange messages on a fake clock, and their platform."""
+    """Nodes that exchange messages on a fake clock, and their platform.
+
+    ``loss`` is the probability that a message is lost; ``revision`` and
+    ``listed`` are those of the platform's VM list.
+    """
 
     def __init__(self, size: int, *, seed: int = 1) -> None:
-        """Start every node within the first second."""
+        """Create ``size`` nodes whose timers start within one second."""
         self.rng = Random(seed)
         self.now: float = 0
         self.platform_is_up = True
@@ -136,15 +141,17 @@
         self.reads_by_second: Counter[int] = Counter()
         self._steps = Steps()
         self._watches: list[Node] = []
-        self.by_name = {made.own.name: made for made in self._made_nodes(size)}
+        self.by_name = {
+            made.own.name: made for made in self._create_nodes(size)
+        }
         self.listed = {
             name: _listed(node.own) for name, node in self.by_name.items()
         }
         for node in self.by_name.values():
-            self._after(self.rng.random(), self._tick_of(node))
+            self._schedule(self.rng.random(), self._tick_of(node))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Run the steps due in the next ``seconds``."""
         until = self.now + seconds
         while self._steps.due_at() <= until:
             due_at, step = self._steps.take()
@@ -153,13 +160,13 @@
         self.now = until
 
     def tell(self, node: Node, event: Record) -> None:
-        """Let a node handle an event and carry out its actions."""
+        """Pass an event to a node that is up, and perform its actions."""
         if node.is_up:
             for action in node.handle(event, self.now):
-                self._carry_out(node, action)
+                self._perform(node, action)
 
     def list_as(self, name: str, state: VmState) -> None:
-        """Publish a VM's state, and answer the watches."""
+        """Publish a VM's state and answer the pending watches."""
         fields = self.listed[name].as_dict()
         fields['state'] = state
         self.listed[name] = ListedVm(**fields)
@@ -167,10 +174,10 @@
         waiting = self._watches
         self._watches = []
         for node in waiting:
-            self._after(_PLATFORM_SECONDS, self._answer_of(node))
+            self._schedule(_PLATFORM_DELAY_SECONDS, self._answer_of(node))
 
     def restart(self, name: str) -> None:
-        """Replace a node by its next incarnation, which knows nothing."""
+        """Replace a node by a new incarnation with an empty view."""
         old = self.by_name[name]
         old.is_up = False
         fields = old.own.as_dict()
@@ -178,10 +185,10 @@
         node = Node(Announcement(**fields), old.needed, self.rng, self.now)
         node.sent_bytes = old.sent_bytes
         self.by_name[name] = node
-        self._after(self.rng.random() * TICK_SECONDS, self._tick_of(node))
+        self._schedule(self.rng.random() * TICK_SECONDS, self._tick_of(node))
 
     def unaware_of(self, name: str) -> int:
-        """Return how many of those that call a VM still offer it."""
+        """Return how many callers of a VM's service still list the VM."""
         service = self.by_name[name].own.service
         return sum(
             any(member.name == name for member in node.view.members_of(service))
@@ -189,7 +196,7 @@
             if node.is_up and service in node.needed
         )
 
-    def _made_nodes(self, size: int) -> Iterable[Node]:
+    def _create_nodes(self, size: int) -> Iterable[Node]:
         services = max(2, size * _SERVICES // _FULL_SIZE)
         graph = {
             service: [
@@ -213,15 +220,15 @@
             yield Node(own, graph[service], Random(index), 0)
 
     def _tick_of(self, node: Node) -> Step:
-        def tick() -> None:  # noqa: WPS430 the queue keeps steps
+        def tick() -> None:  # noqa: WPS430 the queue stores callables
             if node.is_up:
                 self.tell(node, MembershipTicked())
-                self._after(TICK_SECONDS, tick)
+                self._schedule(TICK_SECONDS, tick)
 
         return tick
 
     def _answer_of(self, node: Node) -> Step:
-        def answer() -> None:  # noqa: WPS430 the queue keeps steps
+        def answer() -> None:  # noqa: WPS430 the queue stores callables
             if not self.platform_is_up:
                 self.tell(node, VmListReadFailed())
                 return
@@ -233,7 +240,7 @@
 
         return answer
 
-    def _carry_out(self, node: Node, action: Record) -> None:
+    def _perform(self, node: Node, action: Record) -> None:
         if isinstance(action, ReadVmList):
             self._read(node, is_watch=action.is_watch)
         if isinstance(action, SendBulletin):
@@ -249,10 +256,10 @@
         self.reads_by_second[int(self.now)] += 1
         is_behind = node.read_revision < self.revision
         if not is_watch or is_behind or not self.platform_is_up:
-            self._after(_PLATFORM_SECONDS, self._answer_of(node))
+            self._schedule(_PLATFORM_DELAY_SECONDS, self._answer_of(node))
             return
         self._watches.append(node)
-        self._after(_WATCH_SECONDS, lambda: self._end_watch(node))
+        self._schedule(_WATCH_TIMEOUT_SECONDS, lambda: self._end_watch(node))
 
     def _end_watch(self, node: Node) -> None:
         if node in self._watches:
@@ -270,13 +277,17 @@
         receiver = self.by_name[name]
         if not self._arrives(sender, receiver):
             silent = PeerSilent(name)
-            self._after(_TIMEOUT_SECONDS, lambda: self.tell(sender, silent))
+            self._schedule(_TIMEOUT_SECONDS, lambda: self.tell(sender, silent))
             return
-        is_near = receiver.own.region == sender.own.region
-        delay = _NEAR_SECONDS if is_near else _FAR_SECONDS
-        self._after(delay, lambda: self.tell(receiver, event))
+        is_same_region = receiver.own.region == sender.own.region
+        delay = (
+            _SAME_REGION_DELAY_SECONDS
+            if is_same_region
+            else _CROSS_REGION_DELAY_SECONDS
+        )
+        self._schedule(delay, lambda: self.tell(receiver, event))
         answered = PeerAnswered(name, receiver.own.incarnation)
-        self._after(2 * delay, lambda: self.tell(sender, answered))
+        self._schedule(2 * delay, lambda: self.tell(sender, answered))
 
     def _arrives(self, sender: Node, receiver: Node) -> bool:
         is_cut = (
@@ -285,7 +296,7 @@
         is_lost = self.rng.random() < self.loss
         return receiver.is_up and not is_cut and not is_lost
 
-    def _after(self, delay: float, step: Step) -> None:
+    def _schedule(self, delay: float, step: Step) -> None:
         self._steps.put(self.now + delay, step)
 
 
