--- a/bench/spread.py
+++ b/bench/spread.py
@@ -1,6 +1,6 @@
-"""How long a version of the rules takes to reach every node, and its bytes.
+"""Measure how long rules take to reach every node, and the bytes sent.
 
-Drives the decisions alone over queues in memory: no network, no cluster.
+Simulates the gossip in memory, without a network or a cluster.
 Run with ``python -m bench.spread [NODES ...]``.
 """
 
@@ -28,17 +28,17 @@
 )
 
 _SIZES: Final = (50, 200, 800, 2600)
-_LOSSES: Final = (0, 0.1, 0.3)
-_MOST_SERVICES: Final = 84
-#: Instances of a service, in the mean.
-_INSTANCES: Final = 12
-_CALLED: Final = 5
-_KINDS: Final = 12
-_READERS: Final = 12
-_CANDIDATES: Final = 40
-#: One way between two nodes, in seconds: the least, and the mean above it.
-_LEAST_DELAY: Final = 0.001
-_MEAN_DELAY: Final = 0.01
+_LOSS_PROBABILITIES: Final = (0, 0.1, 0.3)
+_MAX_SERVICES: Final = 84
+#: Mean number of instances of a service.
+_INSTANCES_PER_SERVICE: Final = 12
+_CALLED_SERVICES: Final = 5
+_KINDS_PER_SERVICE: Final = 12
+_READER_COUNT: Final = 12
+_PEER_CANDIDATES: Final = 40
+#: One-way delay between nodes: the minimum, and the mean excess over it.
+_MIN_DELAY_SECONDS: Final = 0.001
+_MEAN_EXTRA_DELAY_SECONDS: Final = 0.01
 _HEADER: Final = (
     ' nodes  loss  readers   case   have   median      all'
     '  mean B/s  most B/s  reads'
@@ -48,16 +48,16 @@
 _FIRST: Final = 'first'
 _START: Final = 'start'
 _TICK_SECONDS: Final = 0.5
-_WARM_SECONDS: Final = 6
-_PERIOD_SECONDS: Final = 48
-#: Each node reads the platform once within this time of its start.
+_WARM_UP_SECONDS: Final = 6
+_MEASURED_SECONDS: Final = 48
+#: Every node reads from the platform once within this time of its start.
 _START_READ_SECONDS: Final = 4
-#: How long the platform takes to answer.
-_READ_SECONDS: Final = 0.01
+#: Response time of the platform.
+_READ_DELAY_SECONDS: Final = 0.01
 
 
 def document_of(generation: int, services: int) -> RulesDocument:
-    """Return a document in which each generation changes one service."""
+    """Return rules in which each generation changes one service."""
     by_service: dict[str, ServiceRules] = {}
     for place in range(services):
         service = f'service-{place}'
@@ -73,7 +73,7 @@
 
 def _rules_of(service: str, timeout_ms: int) -> ServiceRules:
     by_kind: dict[str, KindRule] = {}
-    for place in range(_KINDS):
+    for place in range(_KINDS_PER_SERVICE):
         kind = f'kind-{place}'
         by_kind[kind] = KindRule(
             service=service,
@@ -89,15 +89,19 @@
 
 
 class Fleet:
-    """Nodes, and a queue of what happens to them in order of time."""
+    """Simulated nodes and their events, queued in order of time.
+
+    ``in_force_at`` holds when, in seconds, each node last put rules into
+    force; ``reads`` counts the reads that nodes requested.
+    """
 
     def __init__(self, size: int, loss: float, *, is_cold: bool) -> None:
-        """Start every node, its timer at a random phase.
+        """Start every node, with its timer at a random phase.
 
-        Unless it is cold, every node has the first generation already.
+        Unless ``is_cold``, every node already has the first generation.
         """
         self.now: float = 0
-        self.services = min(_MOST_SERVICES, size // _INSTANCES)
+        self.services = min(_MAX_SERVICES, size // _INSTANCES_PER_SERVICE)
         self.in_force_at: dict[str, float] = {}
         self._rng = Random(_SEED)
         self._is_cold = is_cold
@@ -114,10 +118,12 @@
         for place in range(size):
             self._start(f'node-{place}', place % self.services)
 
-        self.readers = self._rng.sample(sorted(self.node_by_name), _READERS)
+        self.readers = self._rng.sample(
+            sorted(self.node_by_name), _READER_COUNT
+        )
 
     def read(self, document: RulesDocument, readers: int) -> None:
-        """Let some nodes read a document, within half a second."""
+        """Publish a document and have readers read it within 0.5 s."""
         names = self.readers[:readers]
         event = DocumentRead(
             version=version_of(document, document.generation),
@@ -125,10 +131,10 @@
         )
         self._published = event
         for name in names:
-            self._later(self._rng.random() / 2, name, event)
+            self._schedule(self._rng.random() / 2, name, event)
 
     def read_all(self, document: RulesDocument) -> None:
-        """Let every node read a document once, as each does at its start."""
+        """Publish a document and have every node read it once, as at start."""
         event = DocumentRead(
             version=version_of(document, document.generation),
             document=document,
@@ -136,24 +142,24 @@
         self._published = event
         for name in self.node_by_name:
             delay = self._rng.random() * _START_READ_SECONDS
-            self._later(delay, name, event)
+            self._schedule(delay, name, event)
 
     def run(self, until: float) -> None:
-        """Let everything happen that does before a time."""
+        """Process the events before ``until`` and set the clock to it."""
         while self._queue[0][0] < until:
             entry = heappop(self._queue)
             self.now = entry[0]
             name, event = entry[2:]
-            self._take(name, event or self._tick(name))
+            self._handle(name, event or self._tick(name))
         self.now = until
 
     def sent_bytes(self) -> list[int]:
-        """Return what each node sent."""
+        """Return the number of bytes sent by each node."""
         return [node.sent_bytes for node in self.node_by_name.values()]
 
     def _start(self, name: str, place: int) -> None:
         called = self._rng.sample(
-            range(self.services), min(_CALLED, self.services)
+            range(self.services), min(_CALLED_SERVICES, self.services)
         )
         services = [f'service-{number}' for number in (place, *called)]
         self._services_by_name[name] = services
@@ -166,7 +172,7 @@
         )
         if not self._is_cold:
             self._load(self.node_by_name[name].rules, services)
-        self._later(self._rng.random(), name, None)
+        self._schedule(self._rng.random(), name, None)
 
     def _load(self, rules: RulesInForce, services: list[str]) -> None:
         document = self._first
@@ -175,11 +181,11 @@
         rules.offer_parts(manifest, parts, 0)
 
     def _tick(self, name: str) -> RulesGossipTicked:
-        self._later(_TICK_SECONDS, name, None)
+        self._schedule(_TICK_SECONDS, name, None)
         names = list(self.node_by_name)
-        count_drawn = min(_CANDIDATES, len(names))
+        candidate_count = min(_PEER_CANDIDATES, len(names))
         return RulesGossipTicked(
-            peers=self._rng.sample(names, count_drawn),
+            peers=self._rng.sample(names, candidate_count),
             peers_by_service={
                 service: self._names_by_service.get(service, [])
                 for service in self._services_by_name[name]
@@ -187,7 +193,7 @@
             readers=self.readers,
         )
 
-    def _take(self, name: str, event: RulesGossipEvent) -> None:
+    def _handle(self, name: str, event: RulesGossipEvent) -> None:
         for action in self.node_by_name[name].handle(event, self.now):
             if isinstance(action, SendMessage):
                 self._send(name, action)
@@ -199,16 +205,18 @@
     def _read_once(self, name: str) -> None:
         if self._published is not None:
             self.reads += 1
-            self._later(_READ_SECONDS, name, self._published)
+            self._schedule(_READ_DELAY_SECONDS, name, self._published)
 
     def _send(self, name: str, action: SendMessage) -> None:
         if self._rng.random() < self._loss:
             return
-        delay = _LEAST_DELAY + self._rng.expovariate(1 / _MEAN_DELAY)
+        delay = _MIN_DELAY_SECONDS + self._rng.expovariate(
+            1 / _MEAN_EXTRA_DELAY_SECONDS
+        )
         event = MessageReceived(peer=name, message=action.message)
-        self._later(delay, action.peer, event)
+        self._schedule(delay, action.peer, event)
 
-    def _later(
+    def _schedule(
         self,
         delay: float,
         name: str,
@@ -225,14 +233,14 @@
     *,
     case: str = _CHANGE,
 ) -> str:
-    """Return a table's row for one change, or for the first document.
+    """Return a table row for a changed document or a first one.
 
-    In the case ``first`` it is published to a fleet that runs without rules;
-    in ``start`` it is published already when every node starts at once.
+    In the case ``first``, a document is published to a running fleet without
+    rules; in ``start``, it is already published when all nodes start at once.
     """
     fleet = Fleet(size, loss, is_cold=case != _CHANGE)
-    begun_at = 0 if case == _START else _WARM_SECONDS
-    fleet.run(begun_at)
+    measured_from = 0 if case == _START else _WARM_UP_SECONDS
+    fleet.run(measured_from)
     fleet.in_force_at.clear()
     before = fleet.sent_bytes()
     document = document_of(2, fleet.services)
@@ -240,10 +248,10 @@
         fleet.read_all(document)
     else:
         fleet.read(document, readers)
-    fleet.run(begun_at + _PERIOD_SECONDS)
-    times = sorted(at - begun_at for at in fleet.in_force_at.values())
+    fleet.run(measured_from + _MEASURED_SECONDS)
+    times = sorted(at - measured_from for at in fleet.in_force_at.values())
     rates = [
-        (after - earlier) / _PERIOD_SECONDS
+        (after - earlier) / _MEASURED_SECONDS
         for after, earlier in zip(fleet.sent_bytes(), before, strict=True)
     ]
     cells = (
@@ -255,14 +263,16 @@
 
 
 def main() -> None:
-    """Print the table."""
-    sizes = [int(word) for word in sys.argv[1:]] or _SIZES
+    """Print the table for the fleet sizes on the command line, or for all."""
+    sizes = [int(size_text) for size_text in sys.argv[1:]] or _SIZES
     lines = [_HEADER]
     for size in sizes:
-        lines.extend(measure(size, loss, _READERS) for loss in _LOSSES)
+        lines.extend(
+            measure(size, loss, _READER_COUNT) for loss in _LOSS_PROBABILITIES
+        )
         lines.append(measure(size, 0, readers=1))
-        lines.append(measure(size, 0, _READERS, case=_FIRST))
-        lines.append(measure(size, 0, _READERS, case=_START))
+        lines.append(measure(size, 0, _READER_COUNT, case=_FIRST))
+        lines.append(measure(size, 0, _READER_COUNT, case=_START))
     for line in lines:
         sys.stdout.write(f'{line}\n')
 
