--- a/bench/retry_shares.py
+++ b/bench/retry_shares.py
@@ -1,7 +1,8 @@
-"""How a request's retries are best divided over the hops of a call graph.
+"""Compare ways to divide a request's retries over a call graph.
 
-Run ``python -m bench.retry_shares``: random call graphs in which calls fail
-and answers are lost, under several ways of handing shares down.
+Run ``python -m bench.retry_shares``. It simulates random call graphs in which
+calls fail and answers are lost, under several policies for passing shares of
+the retry allowance to the calls below.
 """
 
 from collections import Counter
@@ -26,67 +27,69 @@
 
 _REQUESTS: Final = 4000
 _BOUND: Final = 3
-_AMPLE: Final = RetryBudgetSettings(reserve=10_000, floor=10_000)
+_NON_LIMITING_BUDGET: Final = RetryBudgetSettings(reserve=10_000, floor=10_000)
 
 
 class Graph(Record):
-    """Calls below one hop: groups run in turn, each group in parallel."""
+    """Calls made by one hop.
+
+    The groups run one after the other; the calls of a group run in parallel.
+    """
 
     __slots__ = ('groups',)
 
     def __init__(self, *, groups: tuple[tuple['Graph', ...], ...]) -> None:
-        """Take the groups of calls."""
         self.groups = groups
 
 
 class FailureProbabilities(Record):
-    """How often a call fails at its target, is refused, or loses its answer."""
+    """Probabilities that an attempt fails, is refused or loses its answer."""
 
     __slots__ = ('failed', 'not_run', 'lost')
 
     def __init__(self, *, failed: float, not_run: float, lost: float) -> None:
-        """Take the three probabilities of one attempt."""
         self.failed = failed
         self.not_run = not_run
         self.lost = lost
 
 
 class Answer(Record):
-    """What came back from one attempt; ``unspent`` is 0 when it was lost."""
+    """The result of an attempt; ``unspent`` retries are 0 if it was lost."""
 
     __slots__ = ('failure', 'unspent')
 
     def __init__(self, *, failure: AttemptFailure, unspent: int) -> None:
-        """Take the end of the attempt and what it gives back."""
         self.failure = failure
         self.unspent = unspent
 
 
 class RequestSimulation:
-    """One root request in a graph; ``arrivals`` are counted at targets."""
+    """A root request in a call graph.
+
+    ``arrivals`` counts the attempts that reached each target, by call path.
+    """
 
     def __init__(
         self,
         graph: Graph,
-        odds: FailureProbabilities,
+        probabilities: FailureProbabilities,
         random: Random,
         pool_factory: PoolFactory = AllowancePool,
     ) -> None:
-        """Begin with nothing sent."""
         self.arrivals: Counter[str] = Counter()
         self._graph = graph
-        self._odds = odds
+        self._probabilities = probabilities
         self._random = random
         self._pool_factory = pool_factory
-        self._budget = RetryBudget(_AMPLE, 0)
+        self._budget = RetryBudget(_NON_LIMITING_BUDGET, 0)
 
     @property
     def retries(self) -> int:
-        """Return how many attempts reached targets beyond the first ones."""
+        """The number of attempts at targets beyond the first for each call."""
         return sum(count - 1 for count in self.arrivals.values())
 
     def request(self, bound: int, attempt: int) -> bool:
-        """Let the caller send one attempt; return whether it was answered."""
+        """Send an attempt of the caller; return whether it was answered."""
         share = allowance_for(bound, attempt)
         if share is None:
             return False
@@ -100,34 +103,34 @@
         share: int,
         number: int,
     ) -> Answer:
-        """Run one attempt; its calls below name it in their own paths."""
+        """Run an attempt; the paths of the calls below include its number."""
         self.arrivals[path] += 1
-        if self._random.random() < self._odds.not_run:
+        if self._random.random() < self._probabilities.not_run:
             leaving = AttemptFailure(
                 outcome=Outcome.NOT_RUN,
                 reason=RefusalReason.LEAVING,
             )
             return Answer(failure=leaving, unspent=share)
         pool = self._pool_factory(share)
-        is_whole = self._run_below(f'{path}.{number}', graph, pool)
-        if self._random.random() < self._odds.lost:
+        is_complete = self._run_below(f'{path}.{number}', graph, pool)
+        if self._random.random() < self._probabilities.lost:
             lost = AttemptFailure(
                 outcome=Outcome.UNKNOWN,
                 reason=RefusalReason.CONNECTION_LOST,
             )
             return Answer(failure=lost, unspent=0)
         return Answer(
-            failure=self._end(is_whole=is_whole),
+            failure=self._end(is_complete=is_complete),
             unspent=pool.unspent,
         )
 
-    def _end(self, *, is_whole: bool) -> AttemptFailure:
-        if not is_whole:
+    def _end(self, *, is_complete: bool) -> AttemptFailure:
+        if not is_complete:
             return AttemptFailure(
                 outcome=Outcome.FAILED,
                 reason=RefusalReason.RETRY_BOUND,
             )
-        if self._random.random() < self._odds.failed:
+        if self._random.random() < self._probabilities.failed:
             return AttemptFailure(
                 outcome=Outcome.FAILED,
                 reason=RefusalReason.TARGET_FAILED,
@@ -140,11 +143,11 @@
                 index for index, child in enumerate(group) if not child.groups
             ]
             shares = pool.shares(len(group), leaves=leaves)
-            ended = [
+            answered_calls = [
                 self._call(f'{path}/{at}-{index}', child, shares[index], pool)
                 for index, child in enumerate(group)
             ]
-            if not all(ended):
+            if not all(answered_calls):
                 return False
         return True
 
@@ -155,7 +158,7 @@
         share: int,
         pool: AllowancePool,
     ) -> bool:
-        """Make one call with its retries; return whether it was answered."""
+        """Make a call and its retries; return whether it was answered."""
         tries = 0
         while True:
             tries += 1
@@ -179,11 +182,13 @@
 
 
 def random_graph(random: Random, depth: int, width: int) -> Graph:
-    """Return a graph of at most ``depth`` hops that thins out downward."""
+    """Return a graph of at most ``depth`` hops that narrows downward."""
     if depth <= 1:
         return Graph(groups=())
-    turns = random.randint(1, width)
-    groups = tuple(_random_group(random, depth, width) for _ in range(turns))
+    group_count = random.randint(1, width)
+    groups = tuple(
+        _random_group(random, depth, width) for _ in range(group_count)
+    )
     return Graph(groups=groups)
 
 
@@ -196,10 +201,10 @@
 
 
 class LeafPool(AllowancePool):
-    """Hands shares to services that call no other as well."""
+    """Also passes shares to calls that make no calls themselves."""
 
     def share(self, *, calls_below: bool = True) -> int:
-        """Take the share of any call."""
+        """Take a share, whether or not there are calls below."""
         return super().share()
 
     def shares(
@@ -208,25 +213,25 @@
         *,
         leaves: Collection[int] = (),
     ) -> list[int]:
-        """Take the shares of any parallel calls."""
+        """Take shares for all parallel calls, leaves included."""
         return super().shares(count)
 
 
 class KeepOnePool(AllowancePool):
-    """Keeps one retry for an answer that is lost, where there are two."""
+    """Keeps one of two or more retries for the case of a lost answer."""
 
     def _to_hand_down(self) -> int:
         return min(self.unspent, max(1, self.unspent - 1))
 
 
 class KeepHalfPool(AllowancePool):
-    """Keeps half, rounded down."""
+    """Keeps half of the unspent retries, rounded down."""
 
     def _to_hand_down(self) -> int:
         return self.unspent - self.unspent // 2
 
 
-_POOLS: Final[Mapping[str, PoolFactory]] = MappingProxyType(
+_POOL_FACTORIES: Final[Mapping[str, PoolFactory]] = MappingProxyType(
     {
         'chosen': AllowancePool,
         'to leaves': LeafPool,
@@ -234,7 +239,7 @@
         'keep half': KeepHalfPool,
     }
 )
-_ODDS: Final = (
+_FAULTS: Final = (
     ('failures', FailureProbabilities(failed=0.03, not_run=0, lost=0)),
     ('lost answers', FailureProbabilities(failed=0, not_run=0, lost=0.03)),
     ('all kinds', FailureProbabilities(failed=0.01, not_run=0.02, lost=0.01)),
@@ -242,30 +247,32 @@
 
 
 def measure(
-    odds: FailureProbabilities, pool_factory: PoolFactory, depth: int
+    probabilities: FailureProbabilities, pool_factory: PoolFactory, depth: int
 ) -> str:
-    """Return one row: answered share, mean and largest number of retries."""
+    """Return a row: answered share, mean and maximum number of retries."""
     random = Random(depth)
     answered = 0
     retries: list[int] = []
     for _ in range(_REQUESTS):
         graph = random_graph(random, depth, 2)
-        chain = RequestSimulation(graph, odds, random, pool_factory)
-        answered += chain.request(_BOUND, 1)
-        retries.append(chain.retries)
+        simulation = RequestSimulation(
+            graph, probabilities, random, pool_factory
+        )
+        answered += simulation.request(_BOUND, 1)
+        retries.append(simulation.retries)
     mean = sum(retries) / _REQUESTS
     return f'{answered / _REQUESTS:8.1%} {mean:8.3f} {max(retries):4d}'
 
 
 def print_table() -> None:
-    """Print every way under every kind of fault."""
+    """Print a row for each depth, kind of fault and policy."""
     _print(f'bound {_BOUND}, {_REQUESTS} requests a row, first attempts only')
     _print('depth faults        way         answered  retries  max')
     for depth in (4, 13):
-        for fault, odds in _ODDS:
-            for way, pool_factory in _POOLS.items():
-                row = measure(odds, pool_factory, depth)
-                _print(f'{depth:5d} {fault:13} {way:11}{row}')
+        for fault, probabilities in _FAULTS:
+            for policy, pool_factory in _POOL_FACTORIES.items():
+                row = measure(probabilities, pool_factory, depth)
+                _print(f'{depth:5d} {fault:13} {policy:11}{row}')
 
 
 def _print(line: str) -> None:
