--- a/bench/charts.py
+++ b/bench/charts.py
@@ -1,8 +1,8 @@
-"""What a step of a state chart costs with each way to interpret it.
+"""Compare the cost of state chart steps between interpreters.
 
-Run ``python -m bench.charts``. All ways follow the target's chart around one
-loop in the same run; each figure is the best of several rounds. A library
-that is not installed is left out of the table.
+Run ``python -m bench.charts``. All interpreters step through the same loop of
+the target's chart in one run; each time is the minimum of several rounds. A
+library that is not installed is omitted from the table.
 """
 
 import gc
@@ -18,90 +18,97 @@
 from lovageshunt.charts import Chart, Life, load_chart
 
 _ROUNDS: Final = 5
-_LOOPS: Final = 2_000
-_LIVES: Final = 200
-_LOOP: Final = ('answer', 'silence', 'silence', 'answer', 'leave', 'stay')
+_LOOP_COUNT: Final = 2_000
+_INSTANCE_COUNT: Final = 200
+_LOOP_EVENTS: Final = (
+    'answer',
+    'silence',
+    'silence',
+    'answer',
+    'leave',
+    'stay',
+)
 _NS_PER_US: Final = 1000
 
 Step = Callable[[str], object]
-MakeLife = Callable[[Chart], Step]
+StepFactory = Callable[[Chart], Step]
 
 
 class _Model:
-    """Something with a state, for a library that wants a model."""
+    """State holder for libraries that need a model object."""
 
     state: str
 
 
-def lookup_life(chart: Chart) -> Step:
-    """Return the step of a life that looks its chart up."""
+def lookup_step(chart: Chart) -> Step:
+    """Return the step of a ``Life``, which looks up the loaded chart."""
     return Life(chart).step
 
 
-def own_machine_life(chart: Chart) -> Step:
-    """Return the step of a ``transitions`` machine made for one life."""
+def own_machine_step(chart: Chart) -> Step:
+    """Return the step of a ``transitions`` machine with a single model."""
     return _trigger_of(_machine_of(chart))
 
 
-def shared_machine_life(chart: Chart) -> Step:
+def shared_machine_step(chart: Chart) -> Step:
     """Return the step of one model of a shared ``transitions`` machine."""
     return _trigger_of(_shared_machine_of(chart))
 
 
-def statemachine_life(chart: Chart) -> Step:
+def statemachine_step(chart: Chart) -> Step:
     """Return the step of a ``python-statemachine`` machine."""
     send: Step = _statemachine_kind_of(chart)().send
     return send
 
 
-#: Each way: its label, how it makes a life, and the library that it needs.
-WAYS: Final = (
-    ('lookup in the loaded table', lookup_life, 'lovageshunt'),
-    ('transitions, shared machine', shared_machine_life, 'transitions'),
-    ('transitions, own machine', own_machine_life, 'transitions'),
-    ('python-statemachine', statemachine_life, 'statemachine'),
+#: For each interpreter: label, factory of steps, and required library.
+INTERPRETERS: Final = (
+    ('lookup in the loaded table', lookup_step, 'lovageshunt'),
+    ('transitions, shared machine', shared_machine_step, 'transitions'),
+    ('transitions, own machine', own_machine_step, 'transitions'),
+    ('python-statemachine', statemachine_step, 'statemachine'),
 )
 
 
-def step_microseconds(make: MakeLife, chart: Chart) -> float:
-    """Return the time of one step, the best of several rounds."""
+def step_microseconds(make: StepFactory, chart: Chart) -> float:
+    """Return the time of one step, the minimum over several rounds."""
     step = make(chart)
     rounds = []
     for _ in range(_ROUNDS):
-        began = perf_counter_ns()
-        for _ in range(_LOOPS):
-            for event in _LOOP:
+        started_ns = perf_counter_ns()
+        for _ in range(_LOOP_COUNT):
+            for event in _LOOP_EVENTS:
                 step(event)
-        rounds.append(perf_counter_ns() - began)
-    return min(rounds) / (_LOOPS * len(_LOOP)) / _NS_PER_US
+        rounds.append(perf_counter_ns() - started_ns)
+    return min(rounds) / (_LOOP_COUNT * len(_LOOP_EVENTS)) / _NS_PER_US
 
 
-def life_bytes(make: MakeLife, chart: Chart) -> float:
-    """Return the memory that one more life takes, in bytes."""
+def instance_bytes(make: StepFactory, chart: Chart) -> float:
+    """Return the memory of an additional instance, in bytes."""
     make(chart)
     gc.collect()
     tracemalloc.start()
-    lives = [make(chart) for _ in range(_LIVES)]
+    instances = [make(chart) for _ in range(_INSTANCE_COUNT)]
     gc.collect()
-    taken, _ = tracemalloc.get_traced_memory()
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return taken / len(lives)
+    return allocated_bytes / len(instances)
 
 
 def main() -> None:
-    """Print the table."""
+    """Print time and memory for each installed interpreter."""
     chart = load_chart('target')
     rows = [
         f'| {label} | {step_microseconds(make, chart):.2f} '
-        f'| {life_bytes(make, chart):.0f} |'
-        for label, make, library in WAYS
+        f'| {instance_bytes(make, chart):.0f} |'
+        for label, make, library in INTERPRETERS
         if find_spec(library) is not None
     ]
     lines = ('| way | µs a step | bytes a life |', '| --- | ---: | ---: |')
     sys.stdout.write('\n'.join((*lines, *rows, '')))
 
 
-def _listed(chart: Chart) -> list[list[str]]:
+def _transitions_of(chart: Chart) -> list[list[str]]:
     return [
         [event, source, target]
         for (source, event), target in chart.target_by_step.items()
@@ -113,7 +120,7 @@
         model=None,
         states=sorted(chart.states),
         initial=chart.initial,
-        transitions=_listed(chart),
+        transitions=_transitions_of(chart),
         auto_transitions=False,
     )
 
@@ -138,7 +145,7 @@
         for name in sorted(chart.states)
     }
     events: dict[str, Any] = {}
-    for event, source, target in _listed(chart):
+    for event, source, target in _transitions_of(chart):
         step = states[source].to(states[target])
         events[event] = events[event] | step if event in events else step
     return type('_Machine', (library.StateMachine,), states | events)
