--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,9 +1,9 @@
-"""What the decisions of one call cost, without input and output.
+"""Measure the CPU cost of the decisions for one call, without I/O.
 
-``python -m bench.decisions`` prints microseconds a call: the gate for a call
-that may repeat and for one that must not, the choice among 31 targets, and
-the verdict on a retry. The least of some rounds is shown, since whatever
-else the machine does only adds.
+``python -m bench.decisions`` prints microseconds per call: the gate for a
+repeatable call and for one that runs at most once, the choice among 31
+targets, the verdict on a retry, and the context header. It shows the minimum
+of several rounds, because other load on the machine only adds time.
 """
 
 import sys
@@ -41,15 +41,15 @@
 )
 from lovageshunt.routing import RouteMember, Router
 
-_CALLS = 3000
+_CALL_COUNT = 3000
 _ROUNDS = 7
-_MEMBERS = 31
-_MICROSECONDS = 1_000_000
+_MEMBER_COUNT = 31
+_US_PER_SECOND = 1_000_000
 _SERVICE_SECONDS = 0.02
 _HOME = HomeStamp(node='n1', incarnation='a')
 _PEERS = tuple(
     HomeStamp(node=f'n{number}', incarnation='a')
-    for number in range(2, _MEMBERS + 1)
+    for number in range(2, _MEMBER_COUNT + 1)
 )
 
 
@@ -81,7 +81,7 @@
     )
 
 
-def _pass_gate(*, is_repeatable: bool) -> Callable[[], None]:
+def _gate_step(*, is_repeatable: bool) -> Callable[[], None]:
     gate = _gate()
     ending = Ending(
         outcome=Outcome.ANSWERED,
@@ -89,7 +89,7 @@
     )
 
     def run() -> None:
-        for number in range(_CALLS):
+        for number in range(_CALL_COUNT):
             now = 100 + time.perf_counter()
             ticket = f'{now}-{number}'
             gate.handle(
@@ -111,7 +111,7 @@
     return run
 
 
-def _choose() -> Callable[[], None]:
+def _routing_step() -> Callable[[], None]:
     router = Router(
         service='payments',
         own_failure_domain='a',
@@ -128,18 +128,20 @@
                 address=f'127.0.0.1:{number}',
                 incarnation='a',
             )
-            for number in range(_MEMBERS)
+            for number in range(_MEMBER_COUNT)
         ],
         0,
     )
     load = LoadReport(running=3, waiting=0, limit=160, service_ms=20)
 
     def run() -> None:
-        for number in range(_CALLS):
+        for number in range(_CALL_COUNT):
             now = 1 + number / 1000
             member = router.choose(now)
             if member is None:
-                raise RuntimeError('a router with members chooses one')
+                raise RuntimeError(
+                    'expected a member from a router that has members, got None'
+                )
             router.started(member.node, now)
             router.answered(
                 member.node,
@@ -152,11 +154,11 @@
     return run
 
 
-def _retry() -> None:
+def _run_retry_decisions() -> None:
     budget = RetryBudget(RetryBudgetSettings(), 0)
     rng = Random(1)
     thresholds = CallerThresholds()
-    for number in range(_CALLS):
+    for number in range(_CALL_COUNT):
         now = number / 1000
         thresholds.verdict('records', 200_000, now)
         budget.succeeded(now)
@@ -175,32 +177,32 @@
         )
 
 
-def _codec() -> None:
+def _run_context_codec() -> None:
     context = _context('0123456789abcdef0123456789abcdef')
-    for _ in range(_CALLS):
+    for _ in range(_CALL_COUNT):
         decode_context(encode_context(context))
 
 
-def _least(run: Callable[[], None]) -> float:
+def _min_microseconds(run: Callable[[], None]) -> float:
     times = []
     for _ in range(_ROUNDS):
         began = time.perf_counter()
         run()
         times.append(time.perf_counter() - began)
-    return min(times) / _CALLS * _MICROSECONDS
+    return min(times) / _CALL_COUNT * _US_PER_SECOND
 
 
 def main() -> None:
-    """Print the table."""
+    """Print the minimum time per call of each decision."""
     rows = (
-        ('gate, may repeat', _pass_gate(is_repeatable=True)),
-        ('gate, runs at most once, 30 peers', _pass_gate(is_repeatable=False)),
-        (f'choice among {_MEMBERS} targets', _choose()),
-        ('threshold, budget and retry verdict', _retry),
-        ('context header, there and back', _codec),
+        ('gate, may repeat', _gate_step(is_repeatable=True)),
+        ('gate, runs at most once, 30 peers', _gate_step(is_repeatable=False)),
+        (f'choice among {_MEMBER_COUNT} targets', _routing_step()),
+        ('threshold, budget and retry verdict', _run_retry_decisions),
+        ('context header, there and back', _run_context_codec),
     )
     for name, run in rows:
-        sys.stdout.write(f'{name:38}{_least(run):8.1f} us\n')
+        sys.stdout.write(f'{name:38}{_min_microseconds(run):8.1f} us\n')
 
 
 if __name__ == '__main__':
