--- a/tests/docs/test_glossary.py
+++ b/tests/docs/test_glossary.py
@@ -1,4 +1,4 @@
-"""The glossary against the code."""
+"""Check the names in the glossary against the public code."""
 
 import re
 from importlib import import_module
@@ -8,7 +8,7 @@
 
 PAGE = Path('docs/GLOSSARY.md').read_text(encoding='utf-8')
 CODE = re.compile('`([^`\n]+)`')
-#: Where names without a package are public.
+#: Packages whose public names the glossary gives unqualified.
 PACKAGES = (
     'account',
     'admission',
@@ -23,23 +23,23 @@
     'rules',
     'sidecar',
 )
-#: Names on the wire and in charts, which are no names in code.
-WORDS = frozenset(('request_id', 'attempt', 'leaving'))
+#: Names on the wire and in charts that are not names in code.
+OUTER_NAMES = frozenset(('request_id', 'attempt', 'leaving'))
 
 
 def names_in_code():
     """Return the names in the last columns of the page's tables."""
     cells = [row.split('|')[-2] for row in PAGE.splitlines() if '|' in row]
-    named = {name for cell in cells for name in CODE.findall(cell)}
-    return sorted(named - WORDS)
+    names = {name for cell in cells for name in CODE.findall(cell)}
+    return sorted(names - OUTER_NAMES)
 
 
 class TestGlossary:
-    """The names in code."""
+    """Names in the last column of the glossary's tables."""
 
     @pytest.mark.parametrize('name', names_in_code())
     def test_name_exists(self, name):
-        """A name in the last column is public and spelt as in the code."""
+        """A name in the last column is public under this spelling."""
         if name.startswith('lovageshunt.'):
             assert import_module(name)
             return
