--- a/tests/idempotency/test_fleet.py
+++ b/tests/idempotency/test_fleet.py
@@ -60,7 +60,7 @@
             return
         caller = _pick(self.callers, which)
         if gives_up:
-            caller.hop_gives_up()
+            caller.answer_from_hop()
             return
         caller.hop(self.fleet, self.homes, lambda all_: _pick(all_, index))
 
@@ -91,7 +91,7 @@
     @rule(index=_INDEX)
     def leave(self, index):
         """A node begins a planned stop, which may take long."""
-        self.fleet.tell(self._machine(index), Leaving())
+        self.fleet.handle_event(self._machine(index), Leaving())
 
     @rule(index=_INDEX, outcome=st.sampled_from(_ENDINGS))
     def finish(self, index, outcome):
@@ -135,28 +135,28 @@
     def cut(self, sides):
         """The network is partitioned, or a partition ends."""
         for bit, machine in enumerate(self.fleet.by_name.values()):
-            machine.side = sides >> bit & 1
+            machine.partition = sides >> bit & 1
 
     @rule(seconds=st.sampled_from(_WAITS_SECONDS))
     def wait(self, seconds):
         """Time passes."""
         self.fleet.now += seconds
         for machine in self._active(len(_NAMES)):
-            self.fleet.tell(machine, RunOnceTicked())
+            self.fleet.handle_event(machine, RunOnceTicked())
 
     @invariant()
     def calls_run_at_most_once(self):
         """Each call runs at most once, and never after *not run*."""
         for caller in self.callers:
             executions = self.fleet.executions[caller.key]
-            assert not caller.is_wronged(executions)
+            assert not caller.breaks_at_most_once(executions)
 
     def _on_answer(self, call_id, outcome):
         key = int(call_id.split('/')[0])
-        self.callers[key].hear(call_id, outcome)
+        self.callers[key].record_answer(call_id, outcome)
 
     def _on_unsent(self, call_id):
-        self.callers[int(call_id.split('/')[0])].unsent(call_id)
+        self.callers[int(call_id.split('/')[0])].undo_attempt(call_id)
 
     def _machine(self, index):
         return _pick(list(self.fleet.by_name.values()), index)
--- a/tests/idempotency/test_safeguards.py
+++ b/tests/idempotency/test_safeguards.py
@@ -147,7 +147,7 @@
         self.learn()
         self.fleet.now += 30
         self.caller = Caller(key='0', kind=kind, born_at=self.fleet.now)
-        self.fleet.on_answer = self.caller.hear
+        self.fleet.on_answer = self.caller.record_answer
 
     def learn(self, hidden=''):
         """Let every node read a list without ``hidden`` and be confirmed."""
@@ -181,7 +181,7 @@
 
     def violates_at_most_once(self):
         """Return whether the call ran twice, or ran after *not run*."""
-        return self.caller.is_wronged(self.fleet.executions['0'])
+        return self.caller.breaks_at_most_once(self.fleet.executions['0'])
 
 
 def _resend_elsewhere(factory):
@@ -210,7 +210,7 @@
 def _resend_across_a_partition(factory):
     scenario = _Scenario(factory)
     scenario.arrive(scenario.send('a'))
-    scenario.fleet.by_name['a'].side = 1
+    scenario.fleet.by_name['a'].partition = 1
     scenario.arrive(scenario.send('b'))
     return scenario
 
