--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a benchmark: ``python -m bench NAME [ARGUMENT ...]``."""
+"""Run one benchmark: ``python -m bench NAME [ARGUMENT ...]``."""
 
 import sys
 from runpy import run_module
@@ -18,7 +18,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the named benchmark; return 2 when there is none of the name."""
+    """Run the named benchmark; return exit status 2 for an unknown name."""
     if not arguments or arguments[0] not in _NAMES:
         names = ', '.join(_NAMES)
         sys.stderr.write(f'usage: python -m bench NAME ..., of {names}\n')
--- a/bench/_cost_hop.py
+++ b/bench/_cost_hop.py
@@ -1,6 +1,7 @@
-"""A bare hop: uvicorn takes a request and aiohttp sends it on.
+"""A minimal HTTP proxy: uvicorn receives requests, aiohttp forwards them.
 
-``python -m bench._cost_hop LISTEN TARGET``, both IP:PORT.
+Run ``python -m bench._cost_hop LISTEN TARGET``, both as IP:PORT. Serves as
+the lower bound for the latency that any proxy in Python adds.
 """
 
 import sys
@@ -13,11 +14,14 @@
 Message = dict[str, Any]
 
 
-class BareHop:
-    """Passes each request on and its answer back, and does nothing else."""
+class MinimalProxy:
+    """ASGI application that forwards requests to one target.
+
+    Request headers are not forwarded; of the response, only the status and
+    the body are returned.
+    """
 
     def __init__(self, target: str) -> None:
-        """Take the target's address."""
         self._target = target
         self._session: aiohttp.ClientSession | None = None
 
@@ -27,7 +31,7 @@
         receive: Callable[[], Awaitable[Message]],
         send: Callable[[Message], Awaitable[None]],
     ) -> None:
-        """Serve one request."""
+        """Forward one request and return the response of the target."""
         if self._session is None:
             self._session = aiohttp.ClientSession()
         body = (await receive()).get('body', b'')
@@ -35,9 +39,9 @@
         async with self._session.request(
             scope['method'], url, data=body or None
         ) as response:
-            answer = await response.read()
+            content = await response.read()
             status = response.status
-        length = (b'content-length', str(len(answer)).encode())
+        length = (b'content-length', str(len(content)).encode())
         await send(
             {
                 'type': 'http.response.start',
@@ -45,13 +49,13 @@
                 'headers': [length],
             },
         )
-        await send({'type': 'http.response.body', 'body': answer})
+        await send({'type': 'http.response.body', 'body': content})
 
 
 if __name__ == '__main__':
     host, port = sys.argv[1].rsplit(':', 1)
     uvicorn.run(
-        BareHop(sys.argv[2]),
+        MinimalProxy(sys.argv[2]),
         host=host,
         port=int(port),
         loop='asyncio',
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -1,10 +1,11 @@
-"""The latency that a call pays, and what control costs a node.
+"""Added latency per call, and the control overhead of a node.
 
 ``python -m bench.cost`` starts real processes on loopback and prints two
-tables. The first has the direct call, a bare uvicorn and aiohttp hop, and
-the whole call through library and node, in turns within the same run. The
-second has nodes of fleets of several sizes, idle and under calls. Seeds are
-fixed. ``python -m bench.cost latency`` and ``control`` print one of them.
+tables. The first compares a direct call, a minimal uvicorn and aiohttp proxy,
+and a call through client library and node, interleaved in one run. The second
+has CPU, memory and traffic of nodes in fleets of several sizes, idle and under
+load. Seeds are fixed. ``python -m bench.cost latency`` or ``control`` prints
+only one table.
 """
 
 import asyncio
@@ -21,21 +22,21 @@
 import orjson
 import psutil
 
-from bench._cost_load import Timing, Way, make_calls
+from bench._cost_load import CallFunction, LatencyRecorder, make_calls
 from lovageshunt.cli import write_line, write_table
 from lovageshunt.client import Client, ClientOptions
 from lovageshunt.rules import encode_document, parse_sheet
 from standins.fleet import Fleet, ServicePlan, free_address
 
-_RATES = (80, 300)
+_CALLS_PER_SECOND = (80, 300)
 _ROUNDS = 5
-_SECONDS = 2.0
-_WARM_SECONDS = 1.0
+_ROUND_SECONDS = 2.0
+_WARMUP_SECONDS = 1.0
 _CONTROL_SECONDS = 8.0
 _NODE_COUNTS = (2, 6, 12)
-_BUSY_RATE = 80
+_BUSY_CALLS_PER_SECOND = 80
 _SEED = 11
-_MB = 1_000_000
+_BYTES_PER_MB = 1_000_000
 _SHEET = """deployment;cost
 generation;1
 service;kind;method;path;importance;repeatable;timeout_seconds;retry_bound
@@ -45,23 +46,23 @@
 
 
 async def measure_latency() -> None:
-    """Print the table of latencies."""
+    """Print the latency of each call method at each rate."""
     plans = [ServicePlan('one', instances=1, slots=100, service_ms=0)]
     async with (
         _fleet(plans) as fleet,
-        _hop(fleet) as hop,
+        _minimal_proxy(fleet) as proxy,
         _client(fleet) as client,
         aiohttp.ClientSession() as session,
     ):
-        ways = {
-            'direct': _plain_way(session, fleet.vms[0].target),
-            'bare hop': _plain_way(session, hop),
-            'whole call': _whole_way(client),
+        call_by_method = {
+            'direct': _direct_call(session, fleet.vms[0].target),
+            'bare hop': _direct_call(session, proxy),
+            'whole call': _client_call(client),
         }
         rows = []
-        for rate in _RATES:
-            timings = await _in_turns(ways, rate)
-            rows.extend(_latency_rows(rate, timings))
+        for rate in _CALLS_PER_SECOND:
+            recorder_by_method = await _interleave(call_by_method, rate)
+            rows.extend(_latency_rows(rate, recorder_by_method))
     write_table(
         (
             'calls/s',
@@ -78,7 +79,7 @@
 
 
 async def measure_control() -> None:
-    """Print the table of what a node costs, idle and under calls."""
+    """Print CPU, memory and peer traffic per node, idle and under load."""
     rows = []
     for count in _NODE_COUNTS:
         plans = [
@@ -88,19 +89,21 @@
             for name, calls in (('one', (('two', '/'),)), ('two', ()))
         ]
         async with _fleet(plans) as fleet, _client(fleet) as client:
-            # Nodes have just settled; let their exchanges calm down.
+            # Start-up exchanges between nodes would inflate the idle figures.
             await asyncio.sleep(_CONTROL_SECONDS)
             sent = await _sent_bytes(fleet)
-            idle = await _shares(fleet, asyncio.sleep(_CONTROL_SECONDS))
+            idle = await _cpu_percentages(
+                fleet, asyncio.sleep(_CONTROL_SECONDS)
+            )
             sent = await _sent_bytes(fleet) - sent
             calls = make_calls(
-                _whole_way(client),
-                Timing(),
-                calls_per_second=_BUSY_RATE * count / 2,
+                _client_call(client),
+                LatencyRecorder(),
+                calls_per_second=_BUSY_CALLS_PER_SECOND * count / 2,
                 seconds=_CONTROL_SECONDS,
                 rng=Random(_SEED),
             )
-            busy = await _shares(fleet, calls)
+            busy = await _cpu_percentages(fleet, calls)
             bytes_per_second = sent / count / _CONTROL_SECONDS
             rows.append(
                 [
@@ -113,7 +116,7 @@
             'nodes',
             'idle % of a core, mean',
             'max',
-            f'at {_BUSY_RATE} calls/s each, mean',
+            f'at {_BUSY_CALLS_PER_SECOND} calls/s each, mean',
             'max',
             'memory MB, max',
             'sent to peers B/s, mean',
@@ -123,7 +126,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Print the named tables, or both; return 2 for an unknown name."""
+    """Print the named tables, or both; return 2 on an unknown name."""
     by_name = {'latency': measure_latency, 'control': measure_control}
     names = arguments or list(by_name)
     if not set(names) <= set(by_name):
@@ -141,56 +144,60 @@
     write_line(f'load average {when}: {averages}; {os.cpu_count()} cores')
 
 
-async def _in_turns(ways: dict[str, Way], rate: int) -> dict[str, Timing]:
-    """Load the ways in turns, so that all meet the same machine."""
-    timings = {name: Timing() for name in ways}
-    for way in ways.values():
+async def _interleave(
+    call_by_method: dict[str, CallFunction], rate: int
+) -> dict[str, LatencyRecorder]:
+    """Alternate between the call methods, so that machine load affects all."""
+    recorder_by_method = {name: LatencyRecorder() for name in call_by_method}
+    for call in call_by_method.values():
         await make_calls(
-            way,
-            Timing(),
+            call,
+            LatencyRecorder(),
             calls_per_second=rate,
-            seconds=_WARM_SECONDS,
+            seconds=_WARMUP_SECONDS,
             rng=Random(_SEED),
         )
-    for turn in range(_ROUNDS):
-        for name, way in ways.items():
+    for round_number in range(_ROUNDS):
+        for name, call in call_by_method.items():
             await make_calls(
-                way,
-                timings[name],
+                call,
+                recorder_by_method[name],
                 calls_per_second=rate,
-                seconds=_SECONDS,
-                rng=Random(_SEED + turn),
+                seconds=_ROUND_SECONDS,
+                rng=Random(_SEED + round_number),
             )
-    return timings
+    return recorder_by_method
 
 
-def _latency_rows(rate: int, timings: dict[str, Timing]) -> list[list[str]]:
-    direct = timings['direct']
+def _latency_rows(
+    rate: int, recorder_by_method: dict[str, LatencyRecorder]
+) -> list[list[str]]:
+    direct = recorder_by_method['direct']
     return [
         [
             str(rate),
             name,
-            str(timing.histogram.get_total_count()),
-            str(timing.failed),
-            f'{timing.at(50):.2f}',
-            f'{timing.at(99):.2f}',
-            f'{timing.at(50) - direct.at(50):+.2f}',
-            f'{timing.at(99) - direct.at(99):+.2f}',
+            str(recorder.histogram.get_total_count()),
+            str(recorder.failed),
+            f'{recorder.percentile_ms(50):.2f}',
+            f'{recorder.percentile_ms(99):.2f}',
+            f'{recorder.percentile_ms(50) - direct.percentile_ms(50):+.2f}',
+            f'{recorder.percentile_ms(99) - direct.percentile_ms(99):+.2f}',
         ]
-        for name, timing in timings.items()
+        for name, recorder in recorder_by_method.items()
     ]
 
 
-async def _shares(fleet: Fleet, work: Awaitable[None]) -> list[float]:
-    """Return each node's processor share in per cent while work goes on."""
+async def _cpu_percentages(fleet: Fleet, work: Awaitable[None]) -> list[float]:
+    """Return each node's CPU use during ``work``, in per cent of a core."""
     processes = _node_processes(fleet)
     before = [_cpu_seconds(process) for process in processes]
     started = asyncio.get_running_loop().time()
     await work
     elapsed = asyncio.get_running_loop().time() - started
     return [
-        (_cpu_seconds(process) - spent) / elapsed * 100
-        for process, spent in zip(processes, before, strict=True)
+        (_cpu_seconds(process) - cpu_before) / elapsed * 100
+        for process, cpu_before in zip(processes, before, strict=True)
     ]
 
 
@@ -207,12 +214,12 @@
         f'{max(idle):.2f}',
         f'{sum(busy) / count:.2f}',
         f'{max(busy):.2f}',
-        f'{max(memory) / _MB:.1f}',
+        f'{max(memory) / _BYTES_PER_MB:.1f}',
     ]
 
 
 async def _sent_bytes(fleet: Fleet) -> int:
-    """Return what all nodes have sent to peers since they started."""
+    """Return the bytes that all nodes sent to peers since they started."""
     statuses = [await fleet.admin(vm.name, '/v1/status') for vm in fleet.vms]
     return sum(status['sent_bytes'] for status in statuses)
 
@@ -230,7 +237,7 @@
     return float(times.user + times.system)
 
 
-def _plain_way(session: aiohttp.ClientSession, address: str) -> Way:
+def _direct_call(session: aiohttp.ClientSession, address: str) -> CallFunction:
     async def call() -> bool:
         async with session.get(f'http://{address}/') as response:
             await response.read()
@@ -239,7 +246,7 @@
     return call
 
 
-def _whole_way(client: Client) -> Way:
+def _client_call(client: Client) -> CallFunction:
     async def call() -> bool:
         return (await client.call('one', 'GET', '/')).is_ok()
 
@@ -258,7 +265,7 @@
 
 
 @asynccontextmanager
-async def _hop(fleet: Fleet) -> AsyncIterator[str]:
+async def _minimal_proxy(fleet: Fleet) -> AsyncIterator[str]:
     address = free_address()
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -268,14 +275,14 @@
         fleet.vms[0].target,
     )
     try:
-        await _until_up(address)
+        await _wait_until_up(address)
         yield address
     finally:
         process.terminate()
         await process.wait()
 
 
-async def _until_up(address: str) -> None:
+async def _wait_until_up(address: str) -> None:
     async with aiohttp.ClientSession() as session:
         while True:
             try:
