--- a/bench/live.py
+++ b/bench/live.py
@@ -1,8 +1,9 @@
-"""Overload on real processes: two services in a chain, at 1, 2 and 4 times.
+"""Overload of a chain of two services, run as real processes.
 
-``python -m bench.live`` prints, for each load, what callers were told, the
-goodput of whole requests against capacity, and what ran for nothing. It
-starts its processes by ``standins.fleet``. One request in ten is a purchase.
+``python -m bench.live`` offers 1, 2 and 4 times the capacity and prints for
+each load the goodput of completed requests against capacity, the share of
+purchases and lookups answered, and the wasted executions. The processes are
+started by ``standins.fleet``. One request in ten is a purchase.
 """
 
 import asyncio
@@ -29,37 +30,39 @@
 _SLOTS = 4
 _SERVICE_MS = 50
 _INSTANCES = 2
+# Requests per second that the `records` service can run.
 _CAPACITY = _INSTANCES * _SLOTS * 1000 / _SERVICE_MS
-_SECONDS = 8.0
-_WARM_SECONDS = 2.0
-_TIMES = (1, 2, 4)
-_ONE_PURCHASE_IN = 10
+_LOAD_SECONDS = 8.0
+_WARMUP_SECONDS = 2.0
+_LOAD_FACTORS = (1, 2, 4)
+_REQUESTS_PER_PURCHASE = 10
 
 
 class Outcomes:
-    """What callers were told, and when answers came."""
+    """Request counts by (kind, outcome); goodput counts exclude warm-up."""
 
     def __init__(self) -> None:
-        """Begin with none."""
-        self.told: Counter[tuple[str, str]] = Counter()
-        self.warm_answers = 0
+        self.count_by_outcome: Counter[tuple[str, str]] = Counter()
+        self.answers_after_warmup = 0
 
-    def share(self, kind: str) -> float:
-        """Return the share of one kind that was answered."""
+    def answered_share(self, kind: str) -> float:
+        """Return the fraction of the requests of a kind that was answered."""
         total = sum(
-            times for told, times in self.told.items() if told[0] == kind
+            count
+            for key, count in self.count_by_outcome.items()
+            if key[0] == kind
         )
-        return self.told[(kind, 'answered')] / max(1, total)
+        return self.count_by_outcome[(kind, 'answered')] / max(1, total)
 
 
-async def measure(times: float) -> str:
-    """Load a deployment and return the row for it."""
+async def measure(load_factor: float) -> str:
+    """Return the row for a load of ``load_factor`` times the capacity."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder), _plans())
         try:
             await fleet.start(_document())
-            outcomes = await _load(fleet, times * _CAPACITY)
-            return _row(times, outcomes, fleet)
+            outcomes = await _load(fleet, load_factor * _CAPACITY)
+            return _row(load_factor, outcomes, fleet)
         finally:
             await fleet.stop()
 
@@ -88,7 +91,7 @@
     return decoded
 
 
-async def _load(fleet: Fleet, per_second: float) -> Outcomes:
+async def _load(fleet: Fleet, requests_per_second: float) -> Outcomes:
     client = Client(
         ClientOptions(
             name='phone',
@@ -99,17 +102,19 @@
     )
     await client.start()
     outcomes = Outcomes()
-    began = time.monotonic()
+    started_at = time.monotonic()
     tasks = []
     number = 0
-    while time.monotonic() - began < _SECONDS:
+    while time.monotonic() - started_at < _LOAD_SECONDS:
         number += 1
-        is_purchase = number % _ONE_PURCHASE_IN == 0
+        is_purchase = number % _REQUESTS_PER_PURCHASE == 0
         tasks.append(
-            asyncio.create_task(_send(client, outcomes, began, is_purchase)),
+            asyncio.create_task(
+                _send(client, outcomes, started_at, is_purchase)
+            ),
         )
-        due = began + number / per_second
-        await asyncio.sleep(max(0, due - time.monotonic()))
+        due_at = started_at + number / requests_per_second
+        await asyncio.sleep(max(0, due_at - time.monotonic()))
     await asyncio.gather(*tasks)
     await client.close()
     return outcomes
@@ -118,39 +123,41 @@
 async def _send(
     client: Client,
     outcomes: Outcomes,
-    began: float,
+    started_at: float,
     is_purchase: bool,
 ) -> None:
     method = 'POST' if is_purchase else 'GET'
-    told = await client.call('payments', method, '/tokens', body=b'{}')
+    response = await client.call('payments', method, '/tokens', body=b'{}')
     kind = 'purchase' if is_purchase else 'lookup'
-    if told.is_error():
-        name = type(told.error).__name__
-        outcomes.told[(kind, name)] += 1
+    if response.is_error():
+        name = type(response.error).__name__
+        outcomes.count_by_outcome[(kind, name)] += 1
         return
-    outcomes.told[(kind, 'answered')] += 1
-    elapsed = time.monotonic() - began
-    outcomes.warm_answers += _WARM_SECONDS <= elapsed <= _SECONDS
+    outcomes.count_by_outcome[(kind, 'answered')] += 1
+    elapsed = time.monotonic() - started_at
+    outcomes.answers_after_warmup += _WARMUP_SECONDS <= elapsed <= _LOAD_SECONDS
 
 
-def _row(times: float, outcomes: Outcomes, fleet: Fleet) -> str:
-    goodput = outcomes.warm_answers / (_SECONDS - _WARM_SECONDS)
+def _row(load_factor: float, outcomes: Outcomes, fleet: Fleet) -> str:
+    goodput = outcomes.answers_after_warmup / (_LOAD_SECONDS - _WARMUP_SECONDS)
     answered = sum(
-        count for told, count in outcomes.told.items() if told[1] == 'answered'
+        count
+        for key, count in outcomes.count_by_outcome.items()
+        if key[1] == 'answered'
     )
-    ran = sum(fleet.executions('records').values())
+    executions = sum(fleet.executions('records').values())
     return (
-        f'{times:4g}x  goodput {goodput:5.0f}/s of {_CAPACITY:.0f}/s '
+        f'{load_factor:4g}x  goodput {goodput:5.0f}/s of {_CAPACITY:.0f}/s '
         f'({goodput / _CAPACITY:4.0%})  '
-        f'purchases answered {outcomes.share("purchase"):6.1%}  '
-        f'lookups answered {outcomes.share("lookup"):5.0%}  '
-        f'wasted at records {max(0, ran - answered)} of {ran}'
+        f'purchases answered {outcomes.answered_share("purchase"):6.1%}  '
+        f'lookups answered {outcomes.answered_share("lookup"):5.0%}  '
+        f'wasted at records {max(0, executions - answered)} of {executions}'
     )
 
 
 async def _main() -> None:
-    for times in _TIMES:
-        sys.stdout.write(f'{await measure(times)}\n')
+    for load_factor in _LOAD_FACTORS:
+        sys.stdout.write(f'{await measure(load_factor)}\n')
 
 
 if __name__ == '__main__':
