--- a/bench/_deployment.py
+++ b/bench/_deployment.py
@@ -1,21 +1,24 @@
-"""The two deployments: services, their sizes and their request kinds."""
+"""The two simulated deployments: services, their sizes and request kinds."""
 
 from lovageshunt._record import Record
 
 
 class Step(Record):
-    """A call of a service and the calls it makes, one after the other."""
+    """A call of ``service`` and the downstream calls it makes in sequence."""
 
-    __slots__ = ('service', 'below')
+    __slots__ = ('service', 'downstream')
 
-    def __init__(self, service: str, *below: 'Step') -> None:
-        """Name the service and what it calls."""
+    def __init__(self, service: str, *downstream: 'Step') -> None:
         self.service = service
-        self.below = below
+        self.downstream = downstream
 
 
 class Service(Record):
-    """One service: its instances, slots and mean time of its own work."""
+    """Size of a service.
+
+    ``slots`` and ``connections`` are per instance; ``work_seconds`` is the mean
+    time of a call's own work, without its downstream calls.
+    """
 
     __slots__ = ('instances', 'slots', 'connections', 'work_seconds')
 
@@ -27,7 +30,6 @@
         connections: int,
         work_seconds: float,
     ) -> None:
-        """Take every field by name."""
         self.instances = instances
         self.slots = slots
         self.connections = connections
@@ -35,7 +37,11 @@
 
 
 class Kind(Record):
-    """A kind of request: its share of the load and what it calls."""
+    """A kind of request.
+
+    ``share`` is its fraction of all requests; ``is_repeatable`` says whether
+    it may run more than once.
+    """
 
     __slots__ = ('name', 'importance', 'share', 'step', 'is_repeatable')
 
@@ -48,7 +54,6 @@
         step: Step,
         is_repeatable: bool = True,
     ) -> None:
-        """Take every field by name."""
         self.name = name
         self.importance = importance
         self.share = share
@@ -57,10 +62,12 @@
 
 
 class Deployment(Record):
-    """A call graph at its users' sizes.
+    """A call graph with the sizes of its services.
 
-    ``patience_seconds`` is how long a person waits for a whole answer from
-    the first attempt on, ``link_seconds`` one way between failure domains.
+    ``request_timeout_seconds`` is how long a client waits for the answer,
+    counted from its first attempt. ``link_delay_seconds`` is the one-way delay
+    between failure domains, ``client_delay_seconds`` that between a client and
+    a node. ``bottleneck`` names the service that limits the capacity.
     """
 
     __slots__ = (
@@ -68,9 +75,9 @@
         'service_by_name',
         'kinds',
         'bottleneck',
-        'patience_seconds',
-        'link_seconds',
-        'client_seconds',
+        'request_timeout_seconds',
+        'link_delay_seconds',
+        'client_delay_seconds',
     )
 
     def __init__(
@@ -80,40 +87,40 @@
         service_by_name: dict[str, Service],
         kinds: tuple[Kind, ...],
         bottleneck: str,
-        patience_seconds: float,
-        link_seconds: float,
-        client_seconds: float,
+        request_timeout_seconds: float,
+        link_delay_seconds: float,
+        client_delay_seconds: float,
     ) -> None:
-        """Take every field by name."""
         self.name = name
         self.service_by_name = service_by_name
         self.kinds = kinds
         self.bottleneck = bottleneck
-        self.patience_seconds = patience_seconds
-        self.link_seconds = link_seconds
-        self.client_seconds = client_seconds
+        self.request_timeout_seconds = request_timeout_seconds
+        self.link_delay_seconds = link_delay_seconds
+        self.client_delay_seconds = client_delay_seconds
 
-    def needs_bottleneck(self, step: Step) -> bool:
-        """Tell whether a call reaches the deep service."""
+    def reaches_bottleneck(self, step: Step) -> bool:
+        """Whether the call or one downstream of it is to the bottleneck."""
         return step.service == self.bottleneck or any(
-            self.needs_bottleneck(below) for below in step.below
+            self.reaches_bottleneck(downstream)
+            for downstream in step.downstream
         )
 
     @property
     def bottleneck_rate(self) -> float:
-        """Return the calls a second that the deep service can serve."""
-        deep = self.service_by_name[self.bottleneck]
-        return deep.instances * deep.slots / deep.work_seconds
+        """Calls per second that the bottleneck service can serve."""
+        service = self.service_by_name[self.bottleneck]
+        return service.instances * service.slots / service.work_seconds
 
     @property
     def capacity(self) -> float:
-        """Return the requests a second of this mix that can be served."""
-        deep_share = sum(
+        """Requests per second of this mix that can be served."""
+        bottleneck_share = sum(
             kind.share
             for kind in self.kinds
-            if self.needs_bottleneck(kind.step)
+            if self.reaches_bottleneck(kind.step)
         )
-        return self.bottleneck_rate / deep_share
+        return self.bottleneck_rate / bottleneck_share
 
 
 _RECORDS = Step('records')
@@ -165,9 +172,9 @@
         ),
     ),
     bottleneck='records',
-    patience_seconds=3,
-    link_seconds=0.00075,
-    client_seconds=0.0005,
+    request_timeout_seconds=3,
+    link_delay_seconds=0.00075,
+    client_delay_seconds=0.0005,
 )
 
 _PRECIOS = Step('precios')
@@ -218,7 +225,7 @@
         Kind(name='stock', importance=4, share=0.4, step=_STOCK),
     ),
     bottleneck='precios',
-    patience_seconds=6,
-    link_seconds=0.00025,
-    client_seconds=0.0015,
+    request_timeout_seconds=6,
+    link_delay_seconds=0.00025,
+    client_delay_seconds=0.0015,
 )
--- a/bench/_network.py
+++ b/bench/_network.py
@@ -1,35 +1,39 @@
-"""Where things are, how far apart, and which failure domain is cut off."""
+"""Simulated network: delays between locations and a partition."""
 
 from bench._deployment import Deployment
 from bench._loop import Loop
-from bench._request import Book
+from bench._request import RunRecord
 
 FAILURE_DOMAINS = ('fd1', 'fd2', 'fd3')
-#: Where phones are.
+#: Location of the clients.
 OUTSIDE = 'outside'
 
 
 class Network:
-    """Delays between places; a cut failure domain reaches only itself."""
+    """State that all simulated nodes and clients share.
+
+    ``partitioned_domain`` names the failure domain that is cut off from the
+    others, or is empty; messages from and to clients still pass.
+    ``published_share`` is the ratio of published to true slots.
+    """
 
     def __init__(self, loop: Loop, deployment: Deployment) -> None:
-        """Start whole."""
         self.loop = loop
         self.deployment = deployment
-        self.book = Book()
-        self.cut = ''
+        self.run_record = RunRecord()
+        self.partitioned_domain = ''
         self.published_share = float(1)
 
-    def delay(self, here: str, there: str) -> float:
-        """Return the seconds that a message takes one way."""
-        if OUTSIDE in {here, there}:
-            return self.deployment.client_seconds
-        if here == there:
-            return self.deployment.link_seconds / 10
-        return self.deployment.link_seconds
-
-    def is_cut(self, here: str, there: str) -> bool:
-        """Tell whether messages between two places are lost."""
-        places = {here, there}
-        is_inside = OUTSIDE not in places and len(places) > 1
-        return is_inside and self.cut in places
+    def delay(self, source: str, destination: str) -> float:
+        """Return the one-way delay in seconds."""
+        if OUTSIDE in {source, destination}:
+            return self.deployment.client_delay_seconds
+        if source == destination:
+            return self.deployment.link_delay_seconds / 10
+        return self.deployment.link_delay_seconds
+
+    def is_partitioned(self, source: str, destination: str) -> bool:
+        """Whether messages between the two locations are lost."""
+        locations = {source, destination}
+        is_between_domains = OUTSIDE not in locations and len(locations) > 1
+        return is_between_domains and self.partitioned_domain in locations
--- a/bench/_protected.py
+++ b/bench/_protected.py
@@ -1,4 +1,4 @@
-"""Nodes that run the decisions of this package beside their targets."""
+"""Simulated nodes that apply the admission control of lovageshunt."""
 
 from functools import partial, singledispatchmethod
 from random import Random
@@ -26,7 +26,7 @@
 
 
 class ProtectedNode:
-    """A node beside its target."""
+    """A node with admission control in front of its target."""
 
     def __init__(
         self,
@@ -34,12 +34,11 @@
         rng: Random,
         service: Service,
         *,
-        place: str,
+        location: str,
         variant: Variant,
         routes: Routes,
     ) -> None:
-        """Stand in a failure domain."""
-        self.place = place
+        self.location = location
         self.network = network
         self._variant = variant
         self._thresholds = CallerThresholds()
@@ -47,7 +46,7 @@
             network,
             rng,
             routes,
-            place=place,
+            location=location,
             thresholds=self._thresholds,
             variant=variant,
         )
@@ -62,14 +61,16 @@
         self._tick()
 
     def receive(self, call: Call, reply: Reply) -> None:
-        """Admit or refuse a call."""
+        """Queue a call for admission; refuse it by downstream thresholds."""
         if call.is_over:
             return
         now = self.network.loop.now
         kind = call.request.kind.name
-        wait = self._thresholds.verdict_of_kind(kind, call.request.level, now)
-        if wait is not None:
-            self._refuse(call, reply, RefusalReason.OVERLOAD, wait)
+        wait_ms = self._thresholds.verdict_of_kind(
+            kind, call.request.level, now
+        )
+        if wait_ms is not None:
+            self._refuse(call, reply, RefusalReason.OVERLOAD, wait_ms)
             return
         self._waiting[call.call_id] = (call, reply)
         self._handle(
@@ -80,8 +81,8 @@
             ),
         )
 
-    def give_up(self, call: Call) -> None:
-        """Drop a call whose caller is gone."""
+    def abandon(self, call: Call) -> None:
+        """Cancel a call whose caller no longer waits for it."""
         if call.call_id in self._waiting:
             self._waiting.pop(call.call_id)
             call.is_over = True
@@ -90,47 +91,47 @@
     def _tick(self) -> None:
         self._handle(AdmissionTicked())
         loop = self.network.loop
-        loop.at(
+        loop.call_at(
             max(self.admission.next_wake(loop.now), loop.now + 0.001),
             self._tick,
         )
 
     def _handle(self, event: Event) -> None:
         for action in self.admission.handle(event, self.network.loop.now):
-            self._do(action)
+            self._apply(action)
 
     @singledispatchmethod
-    def _do(self, action: Action) -> None:
+    def _apply(self, action: Action) -> None:
         raise NotImplementedError(type(action).__name__)
 
-    @_do.register
-    def _dispatch(self, action: Admit) -> None:
+    @_apply.register
+    def _apply_admit(self, action: Admit) -> None:
         call, reply = self._waiting.pop(action.call_id)
         self._running[call.call_id] = (call, reply)
         self.target.run(call, partial(self._finish, call))
 
-    @_do.register
-    def _refused(self, action: Refuse) -> None:
+    @_apply.register
+    def _apply_refuse(self, action: Refuse) -> None:
         call, reply = self._waiting.pop(action.call_id)
         self._refuse(call, reply, action.reason, action.retry_after_ms)
 
-    @_do.register
-    def _abort(self, action: Abort) -> None:
+    @_apply.register
+    def _apply_abort(self, action: Abort) -> None:
         call, _reply = self._running[action.call_id]
         call.stop()
 
     def _finish(self, call: Call, info: AnswerInfo) -> None:
         _call, reply = self._running.pop(call.call_id)
         was_complete = info.outcome is Outcome.ANSWERED
-        self._learn(call)
+        self._record_dependencies(call)
         self._handle(Finished(call.call_id, was_complete=was_complete))
-        self._answer(call, reply, info)
+        self._send_reply(call, reply, info)
 
-    def _learn(self, call: Call) -> None:
+    def _record_dependencies(self, call: Call) -> None:
         now = self.network.loop.now
-        told = self._thresholds.advertised(now, call.asked)
+        thresholds = self._thresholds.advertised(now, call.threshold_services)
         self._thresholds.record_dependencies(
-            call.request.kind.name, list(told), now
+            call.request.kind.name, list(thresholds), now
         )
 
     def _refuse(
@@ -140,19 +141,19 @@
         reason: RefusalReason,
         wait_ms: int,
     ) -> None:
-        book = self.network.book
-        book.refusals[call.step.service, reason.value] += 1
+        run_record = self.network.run_record
+        run_record.refusals[call.step.service, reason.value] += 1
         call.is_over = True
         info = failed(call, reason, Outcome.NOT_RUN, wait_ms)
-        self._answer(call, reply, info)
+        self._send_reply(call, reply, info)
 
-    def _answer(self, call: Call, reply: Reply, info: AnswerInfo) -> None:
+    def _send_reply(self, call: Call, reply: Reply, info: AnswerInfo) -> None:
         info.unspent = call.unspent
-        if self._variant.tells_callers:
-            told = self._thresholds.advertised(
-                self.network.loop.now, call.asked
+        if self._variant.advertises_thresholds:
+            thresholds = self._thresholds.advertised(
+                self.network.loop.now, call.threshold_services
             )
-            own = {call.step.service: self.admission.threshold}
-            info.threshold_by_service = told | own
+            own_threshold = {call.step.service: self.admission.threshold}
+            info.threshold_by_service = thresholds | own_threshold
         info.load = self.admission.load()
         reply(info)
--- a/bench/_request.py
+++ b/bench/_request.py
@@ -1,4 +1,4 @@
-"""Root requests, the calls made for them, and what became of both."""
+"""Client requests, the calls made for them, and the record of a run."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -15,27 +15,36 @@
 )
 
 Reply = Callable[[AnswerInfo], None]
-_numbers = count()
+_call_numbers = count()
 
 
 class Request:
-    """One person's request and the work it caused."""
+    """A client's request and the work it caused at all hops.
 
-    def __init__(self, request_id: str, kind: Kind, born: float) -> None:
-        """Start with nothing done."""
+    ``created_at`` is in simulated seconds. ``attempts`` counts those of the
+    client; ``retries`` and ``executions`` count over all hops.
+    """
+
+    def __init__(self, request_id: str, kind: Kind, created_at: float) -> None:
         self.request_id = request_id
         self.kind = kind
-        self.born = born
+        self.created_at = created_at
         self.level = level_of(kind.importance, rank_of(request_id))
         self.attempts = 0
         self.retries = 0
         self.executions = 0
-        self.is_good = False
-        self.cause: RefusalReason | None = None
+        self.is_successful = False
+        self.failure_reason: RefusalReason | None = None
 
 
 class Call:
-    """One attempt of a call of a service."""
+    """One attempt of a call of a service.
+
+    ``deadline`` is in simulated seconds. ``retry_allowance`` is the number of
+    retries that may be made for it downstream, ``unspent`` those left.
+    ``threshold_services`` are the services whose thresholds came back with
+    downstream replies. ``stop`` cancels the call at the target.
+    """
 
     def __init__(
         self,
@@ -43,38 +52,36 @@
         step: Step,
         *,
         deadline: float,
-        share: int = 0,
+        retry_allowance: int = 0,
     ) -> None:
-        """Give it an id of its own."""
-        self.call_id = str(next(_numbers))
+        self.call_id = str(next(_call_numbers))
         self.request = request
         self.step = step
         self.deadline = deadline
-        self.share = share
-        self.unspent = share
+        self.retry_allowance = retry_allowance
+        self.unspent = retry_allowance
         self.is_over = False
-        self.asked: set[str] = set()
+        self.threshold_services: set[str] = set()
         self.stop: Callable[[], None] = _do_nothing
 
 
-class Handle(Protocol):
-    """A call below, as its parent sees it."""
+class CallHandle(Protocol):
+    """A downstream call that its parent can cancel."""
 
     def cancel(self) -> None:
-        """Give the call up; its end is told no more."""
+        """Cancel the call; its reply callback is not called afterwards."""
 
 
-class Book:
-    """What happened at the hops, over all requests."""
+class RunRecord:
+    """All requests of a run, and refusals by service and reason."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self.requests: list[Request] = []
         self.refusals: Counter[tuple[str, str]] = Counter()
 
 
 def answered(call: Call) -> AnswerInfo:
-    """Return a plain answer to a call."""
+    """Return the answer of a call that succeeded."""
     return AnswerInfo(call_id=call.call_id, outcome=Outcome.ANSWERED)
 
 
@@ -84,7 +91,7 @@
     outcome: Outcome = Outcome.FAILED,
     retry_after_ms: int = 1,
 ) -> AnswerInfo:
-    """Return an answer that says that a call failed."""
+    """Return the answer of a call that failed or was refused."""
     return AnswerInfo(
         call_id=call.call_id,
         outcome=outcome,
@@ -94,4 +101,4 @@
 
 
 def _do_nothing() -> None:
-    """Stop nothing: the call does not run."""
+    """Default of ``Call.stop``: the call has not reached a target."""
--- a/bench/_sender.py
+++ b/bench/_sender.py
@@ -1,4 +1,4 @@
-"""The caller's side: routing, callers' thresholds, retries of a call."""
+"""Downstream calls of a node: routing, advertised thresholds, retries."""
 
 from functools import partial
 from random import Random
@@ -6,7 +6,7 @@
 
 from bench._deployment import Step
 from bench._network import Network
-from bench._request import Call, Handle, Reply, failed
+from bench._request import Call, CallHandle, Reply, failed
 from lovageshunt._record import Record
 from lovageshunt.admission import CallerThresholds
 from lovageshunt.calls import AnswerInfo, Outcome, RefusalReason
@@ -20,54 +20,54 @@
 )
 from lovageshunt.routing import RouteMember, Router
 
-#: After so long without a connection a target counts as lost.
-_CONNECT_SECONDS = 0.2
-NOBODY: frozenset[str] = frozenset()
+#: Timeout for a connection; a target that exceeds it counts as lost.
+_CONNECT_TIMEOUT_SECONDS = 0.2
+NO_NODES: frozenset[str] = frozenset()
 
 
 class Variant(Record):
-    """One version of the policy."""
+    """One configuration to compare.
 
-    __slots__ = ('name', 'settings', 'tells_callers', 'weighs_targets')
+    ``settings`` are the admission settings that differ from the defaults.
+    ``advertises_thresholds`` puts thresholds on answers. Without
+    ``routes_by_load``, targets are chosen at random.
+    """
+
+    __slots__ = ('name', 'settings', 'advertises_thresholds', 'routes_by_load')
 
     def __init__(
         self,
         name: str,
         *,
         settings: dict[str, float],
-        tells_callers: bool = True,
-        weighs_targets: bool = True,
+        advertises_thresholds: bool = True,
+        routes_by_load: bool = True,
     ) -> None:
-        """Take the settings of admission that differ from the defaults.
-
-        ``tells_callers`` puts thresholds on answers; without
-        ``weighs_targets`` any target is as good as another.
-        """
         self.name = name
         self.settings = settings
-        self.tells_callers = tells_callers
-        self.weighs_targets = weighs_targets
+        self.advertises_thresholds = advertises_thresholds
+        self.routes_by_load = routes_by_load
 
 
-class Neighbour(Protocol):
-    """A node as its callers see it."""
+class DownstreamNode(Protocol):
+    """A node that receives calls of other nodes."""
 
-    place: str
+    location: str
 
     def receive(self, call: Call, reply: Reply) -> None:
-        """Take a call."""
+        """Handle a call and pass its result to ``reply``."""
 
-    def give_up(self, call: Call) -> None:
-        """Hear that a caller is gone."""
+    def abandon(self, call: Call) -> None:
+        """Handle that the caller no longer waits for a call."""
 
 
-class AnyTarget(Router):
-    """Chooses any target that was not tried."""
+class RandomRouter(Router):
+    """Chooses a random target that was not tried, regardless of load."""
 
     __slots__ = ('_members', '_random')
 
     def set_members(self, members: list[RouteMember], now: float) -> None:
-        """Take the targets of the service."""
+        """Replace the known targets by those of the router's service."""
         self._random = Random(len(members))
         self._members = [
             member for member in members if member.service == self._service
@@ -76,32 +76,31 @@
     def choose(
         self,
         now: float,
-        excluded: frozenset[str] = NOBODY,
+        excluded: frozenset[str] = NO_NODES,
     ) -> RouteMember | None:
-        """Return any target."""
-        left = [
+        """Return a random target that is not excluded, None without one."""
+        candidates = [
             member for member in self._members if member.node not in excluded
         ]
-        return self._random.choice(left) if left else None
+        return self._random.choice(candidates) if candidates else None
 
 
 class Routes:
-    """The published targets of each service and the nodes by name."""
+    """Directory of the published targets and their nodes."""
 
     def __init__(self) -> None:
-        """Start empty."""
-        self.node_by_name: dict[str, Neighbour] = {}
+        self.node_by_name: dict[str, DownstreamNode] = {}
         self.members: list[RouteMember] = []
 
-    def add(self, service: str, node: Neighbour) -> None:
-        """List a node."""
+    def add(self, service: str, node: DownstreamNode) -> None:
+        """Publish a node as a target of the service."""
         name = f'{service}-{len(self.members)}'
         self.node_by_name[name] = node
         self.members.append(
             RouteMember(
                 node=name,
                 service=service,
-                failure_domain=node.place,
+                failure_domain=node.location,
                 region='region',
                 address='',
                 incarnation='1',
@@ -110,7 +109,7 @@
 
 
 class ProtectedSender:
-    """Calls services with a router, callers' thresholds and an allowance."""
+    """Sends the downstream calls of one node."""
 
     def __init__(
         self,
@@ -118,39 +117,40 @@
         rng: Random,
         routes: Routes,
         *,
-        place: str,
+        location: str,
         thresholds: CallerThresholds,
         variant: Variant,
     ) -> None:
-        """Stand in a failure domain and share its node's thresholds."""
         self.network = network
         self.rng = rng
         self.routes = routes
-        self.place = place
+        self.location = location
         self.thresholds = thresholds
         self._variant = variant
         self.budget = RetryBudget(RetryBudgetSettings(), 0)
         self._router_by_service: dict[str, Router] = {}
 
-    def send(self, step: Step, parent: Call, reply: Reply) -> Handle:
-        """Send a call; its retries come out of the parent's share."""
-        exchange = Exchange(self, step, parent, reply)
+    def send(self, step: Step, parent: Call, reply: Reply) -> CallHandle:
+        """Send a call; its retries come out of the parent's allowance."""
+        downstream = DownstreamCall(self, step, parent, reply)
         now = self.network.loop.now
         level = parent.request.level
-        wait = self.thresholds.verdict(step.service, level, now)
-        if wait is None:
-            exchange.start()
+        wait_ms = self.thresholds.verdict(step.service, level, now)
+        if wait_ms is None:
+            downstream.start()
         else:
-            exchange.refuse(wait)
-        return exchange
+            downstream.refuse(wait_ms)
+        return downstream
 
     def router(self, service: str) -> Router:
-        """Return the router of a service, made at its first use."""
+        """Return the router of a service, created on first use."""
         if service not in self._router_by_service:
-            kind = Router if self._variant.weighs_targets else AnyTarget
-            router = kind(
+            router_class = (
+                Router if self._variant.routes_by_load else RandomRouter
+            )
+            router = router_class(
                 service=service,
-                own_failure_domain=self.place,
+                own_failure_domain=self.location,
                 own_region='region',
                 rng=self.rng,
             )
@@ -159,8 +159,12 @@
         return self._router_by_service[service]
 
 
-class Exchange:
-    """One call below with its retries."""
+class DownstreamCall:
+    """One downstream call with its retries.
+
+    It takes over the parent's unspent retry allowance and returns what is left
+    when it ends.
+    """
 
     def __init__(
         self,
@@ -169,7 +173,6 @@
         parent: Call,
         reply: Reply,
     ) -> None:
-        """Prepare the first try; the parent's share is lent to it."""
         self._sender = sender
         self._network = sender.network
         self._router = sender.router(step.service)
@@ -183,26 +186,26 @@
         self._started_at = float(0)
 
     def start(self) -> None:
-        """Send a try to the router's choice."""
+        """Send an attempt; raise ValueError if the service has no target."""
         if self._is_over:
             return
         now = self._network.loop.now
         excluded = frozenset(self._tried)
         member = self._router.choose(now, excluded) or self._router.choose(now)
         if member is None:
-            raise ValueError('the deployment lists no such service')
+            raise ValueError('no target is published for the called service')
         self._tried.append(member.node)
         self._started_at = now
         self._router.started(member.node, now)
-        self._call.share = self._pool.share()
-        self._call.unspent = self._call.share
-        self._depart()
+        self._call.retry_allowance = self._pool.share()
+        self._call.unspent = self._call.retry_allowance
+        self._send_attempt()
 
     def refuse(self, wait_ms: int) -> None:
-        """Refuse the call here, as its service would."""
+        """Refuse the call locally by the threshold its service advertised."""
         service = self._call.step.service
-        self._network.book.refusals[service, 'overload, told'] += 1
-        self._settle(
+        self._network.run_record.refusals[service, 'overload, told'] += 1
+        self._complete_attempt(
             failed(
                 self._call,
                 RefusalReason.OVERLOAD,
@@ -212,7 +215,7 @@
         )
 
     def cancel(self) -> None:
-        """Give the call up, here and below."""
+        """Cancel the call here and at the target."""
         if self._is_over:
             return
         self._is_over = True
@@ -224,45 +227,50 @@
             outcome=Outcome.NOT_RUN,
             reason=RefusalReason.CANCELLED,
         )
-        if not self._is_cut():
-            give_up = partial(self._node().give_up, self._call)
-            self._network.loop.after(self._delay(), give_up)
+        if not self._is_partitioned():
+            abandon = partial(self._node().abandon, self._call)
+            self._network.loop.call_later(self._delay(), abandon)
 
-    def _node(self) -> Neighbour:
+    def _node(self) -> DownstreamNode:
         return self._sender.routes.node_by_name[self._tried[-1]]
 
     def _delay(self) -> float:
-        return self._network.delay(self._sender.place, self._node().place)
+        return self._network.delay(self._sender.location, self._node().location)
 
-    def _is_cut(self) -> bool:
-        here = self._sender.place
-        return self._network.is_cut(here, self._node().place)
+    def _is_partitioned(self) -> bool:
+        source = self._sender.location
+        return self._network.is_partitioned(source, self._node().location)
 
-    def _depart(self) -> None:
+    def _send_attempt(self) -> None:
         loop = self._network.loop
-        if self._is_cut():
-            loop.after(_CONNECT_SECONDS, partial(self._lose, self._call))
+        if self._is_partitioned():
+            loop.call_later(
+                _CONNECT_TIMEOUT_SECONDS,
+                partial(self._lose_connection, self._call),
+            )
             return
-        back = partial(self._come_back, self._call)
-        receive = partial(self._node().receive, self._call, back)
-        loop.after(self._delay(), receive)
+        reply = partial(self._return_reply, self._call)
+        receive = partial(self._node().receive, self._call, reply)
+        loop.call_later(self._delay(), receive)
 
-    def _come_back(self, call: Call, info: AnswerInfo) -> None:
+    def _return_reply(self, call: Call, info: AnswerInfo) -> None:
         loop = self._network.loop
-        if self._is_cut():
-            loop.after(_CONNECT_SECONDS, partial(self._lose, call))
+        if self._is_partitioned():
+            loop.call_later(
+                _CONNECT_TIMEOUT_SECONDS, partial(self._lose_connection, call)
+            )
             return
-        loop.after(self._delay(), partial(self._end, call, info))
+        loop.call_later(self._delay(), partial(self._handle_reply, call, info))
 
-    def _lose(self, call: Call) -> None:
+    def _lose_connection(self, call: Call) -> None:
         if self._is_over or call is not self._call:
             return
         self._router.lost(self._tried[-1], self._network.loop.now)
-        self._settle(
+        self._complete_attempt(
             failed(call, RefusalReason.CONNECTION_LOST, Outcome.UNKNOWN),
         )
 
-    def _end(self, call: Call, info: AnswerInfo) -> None:
+    def _handle_reply(self, call: Call, info: AnswerInfo) -> None:
         if self._is_over or call is not self._call:
             return
         now = self._network.loop.now
@@ -274,39 +282,39 @@
             reason=info.reason,
             load=info.load,
         )
-        self._learn(info, now)
-        self._pool.give_back(share=call.share, unspent=info.unspent)
-        self._settle(info)
+        self._record_thresholds(info, now)
+        self._pool.give_back(share=call.retry_allowance, unspent=info.unspent)
+        self._complete_attempt(info)
 
-    def _learn(self, info: AnswerInfo, now: float) -> None:
+    def _record_thresholds(self, info: AnswerInfo, now: float) -> None:
         thresholds = self._sender.thresholds
         for service, threshold in info.threshold_by_service.items():
             thresholds.learn(service, threshold, now)
-            self._parent.asked.add(service)
+            self._parent.threshold_services.add(service)
 
-    def _settle(self, info: AnswerInfo) -> None:
+    def _complete_attempt(self, info: AnswerInfo) -> None:
         now = self._network.loop.now
         if info.outcome is Outcome.ANSWERED:
             self._sender.budget.succeeded(now)
-        verdict = self._verdict(info, now)
-        if verdict.is_retry:
+        decision = self._retry_decision(info, now)
+        if decision.is_retry:
             call = self._call
             call.request.retries += 1
             self._call = Call(call.request, call.step, deadline=call.deadline)
-            self._network.loop.after(verdict.delay_seconds, self.start)
+            self._network.loop.call_later(decision.delay_seconds, self.start)
             return
         self._is_over = True
         self._parent.unspent = self._pool.unspent
         self._reply(info)
 
-    def _verdict(self, info: AnswerInfo, now: float) -> RetryDecision:
+    def _retry_decision(self, info: AnswerInfo, now: float) -> RetryDecision:
         return decide_retry(
             AttemptFailure(
                 outcome=info.outcome,
                 reason=info.reason,
                 retry_after_ms=info.retry_after_ms,
                 tries=len(self._tried),
-                was_retried_below=info.unspent < self._call.share,
+                was_retried_below=info.unspent < self._call.retry_allowance,
             ),
             now=now,
             deadline=self._call.deadline,
--- a/bench/_workloads.py
+++ b/bench/_workloads.py
@@ -1,44 +1,45 @@
-"""What happens to a deployment in each run."""
+"""The workloads: offered load and fault injection of each run."""
 
 from collections.abc import Callable
 from functools import partial
 
+from bench._clients import AGGRESSIVE, COOPERATIVE, ClientPolicy, LoadGenerator
 from bench._network import Network
-from bench._people import HARD, PATIENT, Crowd, Manner
 from bench._systems import System
 from lovageshunt._record import Record
 
-#: The load before and after a trigger, as a share of capacity.
-_USUAL_LOAD = 0.8
+#: Load before and after a trigger, as a fraction of capacity.
+_NORMAL_LOAD = 0.8
 _SLOW_FACTOR = 10
 _SURGE_LOAD = 3
 
-Trigger = Callable[[Network, System, Crowd], None]
+Trigger = Callable[[Network, System, LoadGenerator], None]
 
 
 class Workload(Record):
-    """A load, and for a while a trigger.
-
-    ``load`` is a share of capacity; the trigger holds from
-    ``starts_seconds`` to ``ends_seconds``. The run ends at ``run_seconds``.
-    Goodput is taken of requests born between ``from_seconds`` and
-    ``to_seconds``, when the deep service has ``deep_share`` of its speed.
-    ``published_share`` is what the platform publishes of the true slots.
+    """An offered load and a temporary trigger, such as a fault or a surge.
+
+    ``load`` is a fraction of capacity. The trigger lasts from
+    ``trigger_start_seconds`` to ``trigger_end_seconds``, the run until
+    ``run_seconds``. Goodput covers requests created from
+    ``measure_from_seconds`` to ``measure_until_seconds``, when the bottleneck
+    runs at ``bottleneck_speed_share`` of its speed. ``published_share`` is the
+    ratio of the slots that the platform publishes to the true slots.
     """
 
     __slots__ = (
         'name',
         'load',
-        'manner',
-        'starts_seconds',
-        'ends_seconds',
+        'policy',
+        'trigger_start_seconds',
+        'trigger_end_seconds',
         'run_seconds',
-        'from_seconds',
-        'to_seconds',
-        'deep_share',
+        'measure_from_seconds',
+        'measure_until_seconds',
+        'bottleneck_speed_share',
         'published_share',
-        'begin',
-        'end',
+        'start_trigger',
+        'stop_trigger',
     )
 
     def __init__(
@@ -46,92 +47,93 @@
         name: str,
         *,
         load: float,
-        manner: Manner,
-        starts_seconds: float,
-        ends_seconds: float,
+        policy: ClientPolicy,
+        trigger_start_seconds: float,
+        trigger_end_seconds: float,
         run_seconds: float,
-        from_seconds: float,
-        to_seconds: float,
-        begin: Trigger,
-        end: Trigger,
-        deep_share: float = 1,
+        measure_from_seconds: float,
+        measure_until_seconds: float,
+        start_trigger: Trigger,
+        stop_trigger: Trigger,
+        bottleneck_speed_share: float = 1,
         published_share: float = 1,
     ) -> None:
-        """Take every field by name."""
-        self.deep_share = deep_share
+        self.bottleneck_speed_share = bottleneck_speed_share
         self.published_share = published_share
         self.name = name
         self.load = load
-        self.manner = manner
-        self.starts_seconds = starts_seconds
-        self.ends_seconds = ends_seconds
+        self.policy = policy
+        self.trigger_start_seconds = trigger_start_seconds
+        self.trigger_end_seconds = trigger_end_seconds
         self.run_seconds = run_seconds
-        self.from_seconds = from_seconds
-        self.to_seconds = to_seconds
-        self.begin = begin
-        self.end = end
+        self.measure_from_seconds = measure_from_seconds
+        self.measure_until_seconds = measure_until_seconds
+        self.start_trigger = start_trigger
+        self.stop_trigger = stop_trigger
 
     @property
-    def has_trigger(self) -> bool:
-        """Tell whether recovery can be measured."""
-        return self.ends_seconds < self.run_seconds
+    def measures_recovery(self) -> bool:
+        """Whether the trigger ends before the run does."""
+        return self.trigger_end_seconds < self.run_seconds
 
 
 def _steady(
     name: str,
     load: float,
-    manner: Manner,
+    policy: ClientPolicy,
     *,
     published_share: float = 1,
 ) -> Workload:
     return Workload(
         name,
         load=load,
-        manner=manner,
-        starts_seconds=0,
-        ends_seconds=17,
+        policy=policy,
+        trigger_start_seconds=0,
+        trigger_end_seconds=17,
         run_seconds=17,
-        from_seconds=5,
-        to_seconds=10,
-        begin=_nothing,
-        end=_nothing,
+        measure_from_seconds=5,
+        measure_until_seconds=10,
+        start_trigger=_do_nothing,
+        stop_trigger=_do_nothing,
         published_share=published_share,
     )
 
 
-def _passing(
+def _with_trigger(
     name: str,
     seconds: float,
-    manner: Manner,
+    policy: ClientPolicy,
     *,
-    begin: Trigger,
-    end: Trigger,
-    deep_share: float = 1,
+    start_trigger: Trigger,
+    stop_trigger: Trigger,
+    bottleneck_speed_share: float = 1,
 ) -> Workload:
     return Workload(
         name,
-        load=_USUAL_LOAD,
-        manner=manner,
-        starts_seconds=5,
-        ends_seconds=5 + seconds,
+        load=_NORMAL_LOAD,
+        policy=policy,
+        trigger_start_seconds=5,
+        trigger_end_seconds=5 + seconds,
         run_seconds=5 + seconds + 20,
-        from_seconds=5,
-        to_seconds=5 + seconds,
-        begin=begin,
-        end=end,
-        deep_share=deep_share,
+        measure_from_seconds=5,
+        measure_until_seconds=5 + seconds,
+        start_trigger=start_trigger,
+        stop_trigger=stop_trigger,
+        bottleneck_speed_share=bottleneck_speed_share,
     )
 
 
-def _nothing(network: Network, system: System, crowd: Crowd) -> None:
-    """Change nothing."""
+def _do_nothing(
+    network: Network, system: System, generator: LoadGenerator
+) -> None:
+    """Stand in for the trigger of a steady workload."""
 
 
 def _set_speed(
     factor: float,
     network: Network,
     system: System,
-    crowd: Crowd,
+    generator: LoadGenerator,
 ) -> None:
     for target in system.targets[network.deployment.bottleneck]:
         target.slow_factor = factor
@@ -141,7 +143,7 @@
     factor: float,
     network: Network,
     system: System,
-    crowd: Crowd,
+    generator: LoadGenerator,
 ) -> None:
     system.targets[network.deployment.bottleneck][0].slow_factor = factor
 
@@ -150,7 +152,7 @@
     is_broken: bool,
     network: Network,
     system: System,
-    crowd: Crowd,
+    generator: LoadGenerator,
 ) -> None:
     system.targets[network.deployment.bottleneck][0].is_broken = is_broken
 
@@ -159,64 +161,66 @@
     load: float,
     network: Network,
     system: System,
-    crowd: Crowd,
+    generator: LoadGenerator,
 ) -> None:
-    crowd.rate = load * network.deployment.capacity
+    generator.rate = load * network.deployment.capacity
 
 
-def _set_cut(
-    place: str,
+def _set_partition(
+    failure_domain: str,
     network: Network,
     system: System,
-    crowd: Crowd,
+    generator: LoadGenerator,
 ) -> None:
-    network.cut = place
+    network.partitioned_domain = failure_domain
 
 
 WORKLOADS = (
-    _steady('1x', 1, PATIENT),
-    _steady('2x', 2, PATIENT),
-    _steady('2x, hard retries', 2, HARD),
-    _steady('4x', 4, PATIENT),
-    _steady('4x, hard retries', 4, HARD),
-    _steady('2x, half the slots published', 2, PATIENT, published_share=0.5),
-    _steady('2x, twice the slots published', 2, PATIENT, published_share=2),
-    _passing(
+    _steady('1x', 1, COOPERATIVE),
+    _steady('2x', 2, COOPERATIVE),
+    _steady('2x, hard retries', 2, AGGRESSIVE),
+    _steady('4x', 4, COOPERATIVE),
+    _steady('4x, hard retries', 4, AGGRESSIVE),
+    _steady(
+        '2x, half the slots published', 2, COOPERATIVE, published_share=0.5
+    ),
+    _steady('2x, twice the slots published', 2, COOPERATIVE, published_share=2),
+    _with_trigger(
         'deep service x10 slow, 20 s',
         20,
-        PATIENT,
-        begin=partial(_set_speed, _SLOW_FACTOR),
-        end=partial(_set_speed, 1),
-        deep_share=1 / _SLOW_FACTOR,
+        COOPERATIVE,
+        start_trigger=partial(_set_speed, _SLOW_FACTOR),
+        stop_trigger=partial(_set_speed, 1),
+        bottleneck_speed_share=1 / _SLOW_FACTOR,
     ),
-    _passing(
+    _with_trigger(
         'surge x3, hard retries, 5 s',
         5,
-        HARD,
-        begin=partial(_set_load, _SURGE_LOAD),
-        end=partial(_set_load, _USUAL_LOAD),
+        AGGRESSIVE,
+        start_trigger=partial(_set_load, _SURGE_LOAD),
+        stop_trigger=partial(_set_load, _NORMAL_LOAD),
     ),
-    _passing(
+    _with_trigger(
         'one failure domain cut, 10 s',
         10,
-        PATIENT,
-        begin=partial(_set_cut, 'fd3'),
-        end=partial(_set_cut, ''),
+        COOPERATIVE,
+        start_trigger=partial(_set_partition, 'fd3'),
+        stop_trigger=partial(_set_partition, ''),
     ),
-    _passing(
+    _with_trigger(
         'one deep target x5 slow, 10 s',
         10,
-        PATIENT,
-        begin=partial(_set_one_speed, 5),
-        end=partial(_set_one_speed, 1),
-        deep_share=(2 + 1 / 5) / 3,
+        COOPERATIVE,
+        start_trigger=partial(_set_one_speed, 5),
+        stop_trigger=partial(_set_one_speed, 1),
+        bottleneck_speed_share=(2 + 1 / 5) / 3,
     ),
-    _passing(
+    _with_trigger(
         'one deep target fails fast, 10 s',
         10,
-        PATIENT,
-        begin=partial(_set_one_broken, True),
-        end=partial(_set_one_broken, False),
-        deep_share=2 / 3,
+        COOPERATIVE,
+        start_trigger=partial(_set_one_broken, True),
+        stop_trigger=partial(_set_one_broken, False),
+        bottleneck_speed_share=2 / 3,
     ),
 )
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,8 +1,8 @@
-"""Goodput and recovery under overload, beside a baseline, in one run.
+"""Simulated goodput and recovery under overload, compared with a baseline.
 
 ``python -m bench overload`` runs every workload on both deployments with
-each variant and prints one table. Seeds are fixed. Further arguments pick
-the deployments, workloads and variants of these names.
+each variant and prints one table. Seeds are fixed. Further arguments are
+names of the deployments, workloads and variants to run.
 """
 
 import sys
@@ -10,17 +10,19 @@
 from itertools import product
 from random import Random
 
+from bench._clients import LoadGenerator
 from bench._deployment import AGENCIA, NAHR
 from bench._loop import Loop
 from bench._network import Network
-from bench._people import Crowd
 from bench._report import Report, report_on, table_row
 from bench._systems import VARIANTS, build
 from bench._workloads import WORKLOADS
 
 _SEED = 7
 _PROCESSES = 4
-_DEPLOYMENT_BY_NAME = {place.name: place for place in (NAHR, AGENCIA)}
+_DEPLOYMENT_BY_NAME = {
+    deployment.name: deployment for deployment in (NAHR, AGENCIA)
+}
 _WORKLOAD_BY_NAME = {workload.name: workload for workload in WORKLOADS}
 _VARIANT_BY_NAME = {variant.name: variant for variant in VARIANTS}
 _HEADER = (
@@ -28,11 +30,11 @@
     'retries mean, max; wasted %; recovery s; why requests failed'
 )
 
-Names = tuple[str, str, str]
+RunNames = tuple[str, str, str]
 
 
-def measure(names: Names, seed: int = _SEED) -> Report:
-    """Run a deployment under a workload with a variant, each by its name."""
+def measure(names: RunNames, seed: int = _SEED) -> Report:
+    """Simulate the named deployment, workload and variant."""
     deployment = _DEPLOYMENT_BY_NAME[names[0]]
     workload = _WORKLOAD_BY_NAME[names[1]]
     loop = Loop()
@@ -40,31 +42,31 @@
     network = Network(loop, deployment)
     network.published_share = workload.published_share
     system = build(network, rng, _VARIANT_BY_NAME[names[2]])
-    crowd = Crowd(
+    generator = LoadGenerator(
         network,
         Random(seed),
-        system.entrances,
-        workload.manner,
-        is_bounded=system.is_bounded,
+        system.ingress_nodes,
+        workload.policy,
+        enforces_retry_bound=system.enforces_retry_bound,
     )
-    crowd.rate = workload.load * deployment.capacity
-    crowd.start()
-    loop.run(workload.starts_seconds)
-    workload.begin(network, system, crowd)
-    loop.run(workload.ends_seconds)
-    workload.end(network, system, crowd)
+    generator.rate = workload.load * deployment.capacity
+    generator.start()
+    loop.run(workload.trigger_start_seconds)
+    workload.start_trigger(network, system, generator)
+    loop.run(workload.trigger_end_seconds)
+    workload.stop_trigger(network, system, generator)
     loop.run(workload.run_seconds)
-    return report_on(network.book, deployment, workload)
+    return report_on(network.run_record, deployment, workload)
 
 
 def run(arguments: list[str]) -> None:
-    """Print the table."""
+    """Print one row per run; no names of a sort select all of that sort."""
     chosen = [
         names
         for names in product(
-            _named(_DEPLOYMENT_BY_NAME, arguments),
-            _named(_WORKLOAD_BY_NAME, arguments),
-            _named(_VARIANT_BY_NAME, arguments),
+            _select(_DEPLOYMENT_BY_NAME, arguments),
+            _select(_WORKLOAD_BY_NAME, arguments),
+            _select(_VARIANT_BY_NAME, arguments),
         )
     ]
     heading = ''
@@ -82,8 +84,12 @@
             sys.stdout.flush()
 
 
-def _named(known: dict[str, object], arguments: list[str]) -> list[str]:
-    return [name for name in known if name in arguments] or list(known)
+def _select(
+    entry_by_name: dict[str, object], arguments: list[str]
+) -> list[str]:
+    return [name for name in entry_by_name if name in arguments] or list(
+        entry_by_name
+    )
 
 
 if __name__ == '__main__':
