--- a/bench/_cost_hop.py
+++ b/bench/_cost_hop.py
@@ -1,7 +1,7 @@
 """A minimal HTTP proxy: uvicorn receives requests, aiohttp forwards them.
 
-Run ``python -m bench._cost_hop LISTEN TARGET``, both as IP:PORT. Serves as
-the lower bound for the latency that any proxy in Python adds.
+Run ``python -m bench._cost_hop LISTEN TARGET``, both as IP:PORT. It is the
+reference for the latency that a proxy adds.
 """
 
 import sys
