--- a/src/lovageshunt/node/egress/_egress.py
+++ b/src/lovageshunt/node/egress/_egress.py
@@ -227,14 +227,14 @@
 
 async def _answer(send: Send, served: ServedCall, reply: _Reply) -> None:
     if reply.is_ok():
-        page = _page_of_answer(reply.ok)
+        response = _response_of_answer(reply.ok)
         ending = Ending(outcome=Outcome.ANSWERED)
         wait_ms = 0
     else:
         reason = RefusalReason(reply.error.reason)
         ending = Ending(outcome=_outcome_of(reply.error), reason=reason)
         wait_ms = reply.error.retry_after_ms
-        page = response_of(served.scope.context, ending, wait_ms)
+        response = response_of(served.scope.context, ending, wait_ms)
     # The id is that of the served call: a target that copies every header
     # into its own answer then makes no statement about another call.
     info = AnswerInfo(
@@ -242,14 +242,14 @@
         outcome=ending.outcome,
         reason=ending.reason,
         retry_after_ms=wait_ms,
-        body_length=len(page.body),
+        body_length=len(response.body),
     )
-    page.headers.append((_ANSWER_NAME, encode_answer(info).encode()))
+    response.headers.append((_ANSWER_NAME, encode_answer(info).encode()))
     await respond(
         send,
-        status=page.status,
-        headers=page.headers,
-        body=page.body,
+        status=response.status,
+        headers=response.headers,
+        body=response.body,
     )
 
 
@@ -264,7 +264,7 @@
     await respond(send, status=refusal.status, headers=[_JSON], body=body)
 
 
-def _page_of_answer(answer: Answer) -> HttpResponse:
+def _response_of_answer(answer: Answer) -> HttpResponse:
     return HttpResponse(
         status=answer.status,
         headers=[
--- a/src/lovageshunt/pressure/_fleet_capacity.py
+++ b/src/lovageshunt/pressure/_fleet_capacity.py
@@ -59,7 +59,7 @@
         """Return the services with at least one report, also expired."""
         return list(self._report_by_target_by_service)
 
-    def heard(
+    def record_report(
         self,
         service: str,
         target_id: str,
--- a/src/lovageshunt/routing/_placement.py
+++ b/src/lovageshunt/routing/_placement.py
@@ -109,7 +109,9 @@
             candidate.cold_until = cold_until_by_id.get(member.node, 0)
             self._by_id[member.node] = candidate
 
-    def heard(self, target_id: str, load: LoadReport, now: float) -> None:
+    def record_reported_load(
+        self, target_id: str, load: LoadReport, now: float
+    ) -> None:
         """Record a load report of a target's node."""
         candidate = self._by_id.get(target_id)
         if candidate is not None:
--- a/src/lovageshunt/sidecar/_fleet.py
+++ b/src/lovageshunt/sidecar/_fleet.py
@@ -142,11 +142,13 @@
         entry = self.entry_by_id.get(report.target_id)
         if entry is not None:
             placement = self._placement(entry.service)
-            placement.heard(entry.target_id, report.load, clock_now())
+            placement.record_reported_load(
+                entry.target_id, report.load, clock_now()
+            )
         return entry
 
     def choose(
-        self, service: str, wanted: PlacementRequest
+        self, service: str, placement_request: PlacementRequest
     ) -> TargetEntry | None:
         """Return the target for a call, or ``None`` if none is eligible."""
         placement = self._placement_by_service.get(service)
@@ -157,7 +159,7 @@
             for candidate in placement.candidates
             if self._is_down(candidate.member.address)
         )
-        member = placement.choose(wanted, clock_now(), unreachable)
+        member = placement.choose(placement_request, clock_now(), unreachable)
         if member is None:
             return None
         return self.entry_by_id.get(member.node)
--- a/src/lovageshunt/sidecar/_origin.py
+++ b/src/lovageshunt/sidecar/_origin.py
@@ -160,7 +160,7 @@
 
         Return whether the request was admitted.
         """
-        decision = self._reports.gate.decision(
+        decision = self._reports.root_admission.decision(
             route.name,
             route.importance,
             call.started_at,
--- a/src/lovageshunt/sidecar/_pressure_reports.py
+++ b/src/lovageshunt/sidecar/_pressure_reports.py
@@ -48,12 +48,12 @@
     """Broadcasts this node's load and demand and records the other nodes'.
 
     ``internal_calls`` distinguishes calls by targets from requests of clients.
-    ``gate`` decides, from the reports, which requests are admitted at their
-    first hop.
+    ``root_admission`` decides, from the reports, which requests are admitted
+    at their first hop.
     """
 
     __slots__ = (
-        'gate',
+        'root_admission',
         'internal_calls',
         '_arrived_by_kind',
         '_reports_sent',
@@ -65,7 +65,7 @@
         '_fleet_state',
         '_broadcast',
         '_graph',
-        '_needs',
+        '_demand_model',
         '_reported_use',
         '_reported_share',
         '_reported_accepted',
@@ -88,13 +88,13 @@
         self._fleet_state = fleet_state
         self._broadcast = broadcast
         self._graph = CallGraph()
-        self._needs = DemandModel()
+        self._demand_model = DemandModel()
         self._arrivals = FleetRates()
         self._retries = FleetRates()
         self._budgets = budgets
         self.internal_calls = InternalCallDetector()
-        self.gate = RootAdmission(
-            demand_model=self._needs,
+        self.root_admission = RootAdmission(
+            demand_model=self._demand_model,
             arrivals=self._arrivals,
             retries=self._retries,
             internal_calls=self.internal_calls,
@@ -113,7 +113,7 @@
         entry = self._fleet.record_load(report)
         if entry is None:
             return
-        self.gate.fleet_capacity.heard(
+        self.root_admission.fleet_capacity.record_report(
             entry.service,
             entry.target_id,
             TargetCapacity(
@@ -147,7 +147,7 @@
                 seconds=seconds,
                 calls_by_kind=report.calls_by_kind_by_kind.get(kind, {}),
             )
-            self._needs.learn(kind, kind_demand)
+            self._demand_model.learn(kind, kind_demand)
 
     def record_arrival(self, kind: str, now: float) -> bool:
         """Count a request from this VM; return whether its target sent it."""
--- a/tests/pressure/test_root_gate.py
+++ b/tests/pressure/test_root_gate.py
@@ -52,7 +52,9 @@
             sent_per_second=1000,
             refused_per_second=1000 * (1 - self.accepted),
         )
-        self.admission.fleet_capacity.heard('bottom', 't1', capacity, now)
+        self.admission.fleet_capacity.record_report(
+            'bottom', 't1', capacity, now
+        )
         counts = {kind: rate * 100 for kind, rate in RATES.items()}
         self.arrivals.learn('n', counts, 1, now)
         self.retries.learn('n', {'bottom': self.retries_per_second}, 1, now)
--- a/tests/routing/test_placement.py
+++ b/tests/routing/test_placement.py
@@ -89,7 +89,7 @@
     def test_stays_near_at_low_load(self) -> None:
         """A near target with spare capacity gets every call."""
         placement = placement_of(*BOTH)
-        placement.heard('n', load(6), 0)
+        placement.record_reported_load('n', load(6), 0)
         assert chosen(placement) == {'n': 200}
 
     def test_uses_only_allowed_targets(self) -> None:
@@ -111,16 +111,16 @@
         """A part of the calls leaves a full near target."""
         placement = placement_of(*BOTH)
         for _ in range(8):
-            placement.heard('n', load(10), 0)
-            placement.heard('f', load(5), 0)
+            placement.record_reported_load('n', load(10), 0)
+            placement.record_reported_load('f', load(5), 0)
         assert 80 < chosen(placement)['f'] < 160
 
     def test_stays_near_when_all_are_full(self) -> None:
         """Calls stay near if no other target is less utilised."""
         placement = placement_of(*BOTH)
         for _ in range(8):
-            placement.heard('n', load(10, 5), 0)
-            placement.heard('f', load(10, 5), 0)
+            placement.record_reported_load('n', load(10, 5), 0)
+            placement.record_reported_load('f', load(10, 5), 0)
         assert chosen(placement) == {'n': 200}
 
     def test_leaves_a_slow_domain(self) -> None:
